--- a/crates/sloetrail-balance/src/balancer.rs
+++ b/crates/sloetrail-balance/src/balancer.rs
@@ -49,7 +49,7 @@
 
 /// What a request demands of the engine that is chosen for it.
 #[derive(Clone, Copy, Debug)]
-pub struct Demand<'a> {
+pub struct EngineRequirements<'a> {
     /// Who waits for it.
     pub class: WorkClass,
     /// Engines that are not to be chosen.
@@ -137,7 +137,7 @@
     }
 
     /// True if there was no news of an engine within `age`.
-    pub fn is_unheard(&self, id: &EngineId, now: Timestamp, age: Duration) -> bool {
+    pub fn is_unconfirmed(&self, id: &EngineId, now: Timestamp, age: Duration) -> bool {
         let confirmed_at = self.engines.get(id).and_then(|entry| entry.confirmed_at);
         confirmed_at.is_none_or(|at| now.since(at) >= age)
     }
@@ -148,13 +148,13 @@
         &mut self,
         now: Timestamp,
         random: &mut impl Rng,
-        demand: Demand<'_>,
+        demand: EngineRequirements<'_>,
     ) -> Option<EngineId> {
         let candidates = self.nearest_candidates(now, demand);
         let id = self.preferred_or_emptier(&candidates, random)?;
         if let Some(entry) = self.engines.get_mut(&id) {
             entry.in_flight += 1;
-            entry.sends.note(now);
+            entry.sends.record(now);
         }
         Some(id)
     }
@@ -173,7 +173,7 @@
     }
 
     /// Engines that may be chosen now, whether or not they have room.
-    pub fn available(&self, now: Timestamp) -> usize {
+    pub fn available_engines(&self, now: Timestamp) -> usize {
         let freshness = self.settings.view_freshness;
         self.engines
             .values()
@@ -191,13 +191,13 @@
     }
 
     /// True if an engine could be chosen for this demand now.
-    pub fn has_place(&self, now: Timestamp, demand: Demand<'_>) -> bool {
+    pub fn has_free_slot(&self, now: Timestamp, demand: EngineRequirements<'_>) -> bool {
         self.able(now, demand).next().is_some()
     }
 
     /// How many requests of a class this node may have at a time at the engines of the
     /// allowed regions that may be chosen now.
-    pub fn places(&self, now: Timestamp, regions: &AllowedRegions, class: WorkClass) -> usize {
+    pub fn slots(&self, now: Timestamp, regions: &AllowedRegions, class: WorkClass) -> usize {
         let freshness = self.settings.view_freshness;
         let topology = &self.settings.topology;
         let able = self.engines.values().filter(|entry| {
@@ -205,7 +205,7 @@
                 && !entry.is_spared(now)
                 && topology.allows(regions, &entry.zone)
         });
-        able.map(|entry| entry.places(class)).sum()
+        able.map(|entry| entry.slots(class)).sum()
     }
 
     /// Requests in flight from this node.
@@ -217,7 +217,7 @@
     fn able<'a>(
         &'a self,
         now: Timestamp,
-        demand: Demand<'a>,
+        demand: EngineRequirements<'a>,
     ) -> impl Iterator<Item = (&'a EngineId, &'a Entry)> {
         let freshness = self.settings.view_freshness;
         let topology = &self.settings.topology;
@@ -231,7 +231,7 @@
 
     /// The engines that may be chosen and have room: warm ones before cold ones, and of
     /// these the nearest.
-    fn nearest_candidates(&self, now: Timestamp, demand: Demand<'_>) -> Vec<EngineId> {
+    fn nearest_candidates(&self, now: Timestamp, demand: EngineRequirements<'_>) -> Vec<EngineId> {
         let topology = &self.settings.topology;
         let mut nearest: Option<(bool, Distance)> = None;
         let mut candidates = Vec::new();
--- a/crates/sloetrail-balance/src/cold_share.rs
+++ b/crates/sloetrail-balance/src/cold_share.rs
@@ -9,11 +9,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdBudget {
     /// Requests a second that it bears.
-    pub bears: f64,
+    pub sustained_per_second: f64,
     /// The most that may reach it in any second.
-    pub most: f64,
+    pub max_per_second: f64,
     /// Kinds of senders that share it: live requests, and each owner of batches.
-    pub ways: usize,
+    pub senders: usize,
 }
 
 impl ColdBudget {
@@ -21,7 +21,7 @@
     /// the most, since two owners may send around a takeover and two nodes may count
     /// different senders.
     fn cold_rate(&self) -> f64 {
-        self.bears.min(self.most / 2.0) / self.ways.max(1) as f64
+        self.sustained_per_second.min(self.max_per_second / 2.0) / self.senders.max(1) as f64
     }
 
     /// What an owner may send to a cold engine.
@@ -31,9 +31,9 @@
 
     /// What an owner may send to an engine that does not count as cold but may have turned
     /// so unnoticed: the rest of the most, beside a second owner that sends as to a cold one.
-    pub fn unnoticed_bound(&self) -> SendBound {
+    pub fn possibly_cold_bound(&self) -> SendBound {
         let cold = self.owner_bound();
-        let most = (self.most / self.ways.max(1) as f64).floor() as usize;
+        let most = (self.max_per_second / self.senders.max(1) as f64).floor() as usize;
         SendBound {
             most: most.saturating_sub(cold.most).max(cold.most),
             span: cold.span,
--- a/crates/sloetrail-balance/src/entry.rs
+++ b/crates/sloetrail-balance/src/entry.rs
@@ -146,11 +146,11 @@
     }
 
     pub(crate) fn has_room(&self, now: Timestamp, class: WorkClass) -> bool {
-        self.in_flight < self.places(class) && !self.is_spared(now)
+        self.in_flight < self.slots(class) && !self.is_spared(now)
     }
 
     /// How many requests of a class this node may have there at a time.
-    pub(crate) fn places(&self, class: WorkClass) -> usize {
+    pub(crate) fn slots(&self, class: WorkClass) -> usize {
         let limit = self.limit.current();
         match class {
             WorkClass::Live => limit,
--- a/crates/sloetrail-balance/src/latency_quantile.rs
+++ b/crates/sloetrail-balance/src/latency_quantile.rs
@@ -25,7 +25,7 @@
 
 impl LatencyQuantile {
     /// Takes in how long an answer took.
-    pub fn note(&mut self, took: Duration) {
+    pub fn record(&mut self, took: Duration) {
         let factor = match took > self.time {
             true => 1.0 + STEP * QUANTILE,
             false => 1.0 - STEP * (1.0 - QUANTILE),
@@ -38,7 +38,7 @@
     }
 
     /// Nine of ten answers come within this time.
-    pub fn time(&self) -> Duration {
+    pub fn estimate(&self) -> Duration {
         self.time
     }
 }
--- a/crates/sloetrail-balance/src/send_window.rs
+++ b/crates/sloetrail-balance/src/send_window.rs
@@ -72,7 +72,7 @@
     }
 
     /// Takes in a send.
-    pub fn note(&mut self, now: Timestamp) {
+    pub fn record(&mut self, now: Timestamp) {
         if self.sends.len() >= SENDS_KEPT {
             self.sends.pop_front();
         }
--- a/crates/sloetrail-balance/src/served_shares.rs
+++ b/crates/sloetrail-balance/src/served_shares.rs
@@ -30,7 +30,7 @@
 
 impl ServedShares {
     /// A request has got a place, or has ended without one.
-    pub(crate) fn note(&mut self, kind: Urgency, is_served: bool) {
+    pub(crate) fn record(&mut self, kind: Urgency, is_served: bool) {
         if self.all.asked >= WINDOW_REQUESTS {
             self.halve();
         }
--- a/crates/sloetrail-balance/src/place_queue.rs
+++ b/crates/sloetrail-balance/src/slot_queue.rs
@@ -7,7 +7,7 @@
 //! be held up by its caller, and must not hold up the others.
 
 use crate::served_shares::ServedShares;
-use crate::{TenantShares, TenantTurn, WorkOwner};
+use crate::{TenantOrder, TenantShares, WorkTenant};
 use sloetrail_types::{AllowedRegions, Timestamp, Urgency};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,22 +18,22 @@
 
 /// Who looks for a place.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PlaceRequest {
+pub struct SlotRequest {
     /// How urgent it is.
     pub urgency: Urgency,
     /// Whose it is.
-    pub tenant: WorkOwner,
+    pub tenant: WorkTenant,
     /// The regions in which it may be served.
     pub regions: AllowedRegions,
 }
 
 /// The number of one that waits; lower ones came earlier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct PlaceTicket(u64);
+pub struct SlotTicket(u64);
 
 #[derive(Debug)]
 struct Waiting {
-    request: PlaceRequest,
+    request: SlotRequest,
     offered_at: Option<Timestamp>,
 }
 
@@ -50,16 +50,16 @@
     /// False for a kind that is served much less than the others.
     is_kind_served: bool,
     urgency: Urgency,
-    tenant: TenantTurn,
-    ticket: PlaceTicket,
+    tenant: TenantOrder,
+    ticket: SlotTicket,
 }
 
 /// How many requests of each tenant wait; none is held that has none.
 #[derive(Debug, Default)]
-struct WaitingTenants(BTreeMap<WorkOwner, usize>);
+struct WaitingTenants(BTreeMap<WorkTenant, usize>);
 
 impl WaitingTenants {
-    fn joined(&mut self, tenant: &WorkOwner) {
+    fn joined(&mut self, tenant: &WorkTenant) {
         match self.0.get_mut(tenant) {
             Some(count) => *count += 1,
             None => {
@@ -68,7 +68,7 @@
         }
     }
 
-    fn left(&mut self, tenant: &WorkOwner) {
+    fn left(&mut self, tenant: &WorkTenant) {
         let Some(count) = self.0.get_mut(tenant) else {
             return;
         };
@@ -81,15 +81,15 @@
 
 /// Those that wait for a place at one service, and what its tenants have under way.
 #[derive(Debug, Default)]
-pub struct PlaceQueue {
-    waiting: BTreeMap<PlaceTicket, Waiting>,
+pub struct SlotQueue {
+    waiting: BTreeMap<SlotTicket, Waiting>,
     tenants: WaitingTenants,
     shares: TenantShares,
     served: ServedShares,
     last_ticket: u64,
 }
 
-impl PlaceQueue {
+impl SlotQueue {
     /// True if nobody waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
@@ -97,7 +97,7 @@
 
     /// Puts a request among those that wait. One that waited before keeps its ticket, and
     /// with that its age.
-    pub fn join(&mut self, request: &PlaceRequest, ticket: Option<PlaceTicket>) -> PlaceTicket {
+    pub fn join(&mut self, request: &SlotRequest, ticket: Option<SlotTicket>) -> SlotTicket {
         let ticket = ticket.unwrap_or_else(|| self.next_ticket());
         let waiting = Waiting {
             request: request.clone(),
@@ -110,7 +110,7 @@
     }
 
     /// Takes a request out, if it waits.
-    pub fn leave(&mut self, ticket: PlaceTicket) {
+    pub fn leave(&mut self, ticket: SlotTicket) {
         if let Some(left) = self.waiting.remove(&ticket) {
             self.tenants.left(&left.request.tenant);
         }
@@ -120,18 +120,18 @@
     }
 
     /// A request has got its first place, or has ended without one.
-    pub fn note_served(&mut self, kind: Urgency, is_served: bool) {
-        self.served.note(kind, is_served);
+    pub fn record_outcome(&mut self, kind: Urgency, is_served: bool) {
+        self.served.record(kind, is_served);
     }
 
     /// A place was taken for a tenant.
-    pub fn began(&mut self, tenant: &WorkOwner) {
-        self.shares.began(tenant);
+    pub fn record_start(&mut self, tenant: &WorkTenant) {
+        self.shares.record_start(tenant);
     }
 
     /// A place of a tenant came free.
-    pub fn ended(&mut self, tenant: &WorkOwner) {
-        self.shares.ended(tenant);
+    pub fn record_end(&mut self, tenant: &WorkTenant) {
+        self.shares.record_end(tenant);
         if self.waiting.is_empty() {
             self.shares.forget_if_idle(tenant);
         }
@@ -143,7 +143,7 @@
         &mut self,
         now: Timestamp,
         can_serve: impl FnMut(&AllowedRegions) -> bool,
-    ) -> Option<PlaceTicket> {
+    ) -> Option<SlotTicket> {
         let ticket = self.first_able(now, can_serve)?.ticket;
         let waiting = self.waiting.get_mut(&ticket)?;
         waiting.offered_at = waiting.offered_at.or(Some(now));
@@ -152,10 +152,10 @@
 
     /// True if a request may take a place now: nobody that goes before it may use one.
     /// `ticket` is its own if it has waited.
-    pub fn is_turn_of(
+    pub fn is_next(
         &self,
-        request: &PlaceRequest,
-        ticket: Option<PlaceTicket>,
+        request: &SlotRequest,
+        ticket: Option<SlotTicket>,
         now: Timestamp,
         can_serve: impl FnMut(&AllowedRegions) -> bool,
     ) -> bool {
@@ -166,12 +166,12 @@
 
     /// How many that wait go before a request whose tenant has more than its share under way.
     /// Zero while its tenant has not.
-    pub fn held_back_by(&self, request: &PlaceRequest, ticket: Option<PlaceTicket>) -> usize {
+    pub fn requests_ahead(&self, request: &SlotRequest, ticket: Option<SlotTicket>) -> usize {
         if self.waiting.is_empty() {
             return 0;
         }
         let waiting = self.tenants.0.keys();
-        if !self.shares.is_beyond_share(&request.tenant, waiting) {
+        if !self.shares.exceeds_share(&request.tenant, waiting) {
             return 0;
         }
         let own = self.turn(request, ticket);
@@ -181,18 +181,18 @@
             .count()
     }
 
-    fn next_ticket(&mut self) -> PlaceTicket {
+    fn next_ticket(&mut self) -> SlotTicket {
         self.last_ticket += 1;
-        PlaceTicket(self.last_ticket)
+        SlotTicket(self.last_ticket)
     }
 
     /// One that has no ticket comes after all that have one.
-    fn turn(&self, request: &PlaceRequest, ticket: Option<PlaceTicket>) -> Turn {
+    fn turn(&self, request: &SlotRequest, ticket: Option<SlotTicket>) -> Turn {
         Turn {
             is_kind_served: !self.served.is_short(request.urgency),
             urgency: request.urgency,
             tenant: self.shares.turn(&request.tenant),
-            ticket: ticket.unwrap_or(PlaceTicket(u64::MAX)),
+            ticket: ticket.unwrap_or(SlotTicket(u64::MAX)),
         }
     }
 
--- a/crates/sloetrail-balance/src/tenant_shares.rs
+++ b/crates/sloetrail-balance/src/tenant_shares.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Whose work it is; work of nobody in particular shares as one tenant.
-pub type WorkOwner = Option<TenantName>;
+pub type WorkTenant = Option<TenantName>;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct TenantUse {
@@ -16,7 +16,7 @@
 /// A tenant's turn: the least goes first. That is the tenant with the least under way, and of
 /// several the one whose last start is the longest ago.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct TenantTurn {
+pub struct TenantOrder {
     under_way: usize,
     last_start: u64,
 }
@@ -26,14 +26,14 @@
 /// Invariant: `total` is the sum over all tenants.
 #[derive(Debug, Default)]
 pub struct TenantShares {
-    uses: BTreeMap<WorkOwner, TenantUse>,
+    uses: BTreeMap<WorkTenant, TenantUse>,
     total: usize,
     starts: u64,
 }
 
 impl TenantShares {
     /// Something of a tenant was started.
-    pub fn began(&mut self, tenant: &WorkOwner) {
+    pub fn record_start(&mut self, tenant: &WorkTenant) {
         self.starts += 1;
         self.total += 1;
         let starts = self.starts;
@@ -43,7 +43,7 @@
     }
 
     /// Something of a tenant has ended.
-    pub fn ended(&mut self, tenant: &WorkOwner) {
+    pub fn record_end(&mut self, tenant: &WorkTenant) {
         let Some(entry) = self.uses.get_mut(tenant) else {
             return;
         };
@@ -54,7 +54,7 @@
     }
 
     /// Takes in anew what is under way, each by its tenant. Starts stay remembered.
-    pub fn recount<'a>(&mut self, under_way: impl Iterator<Item = (&'a WorkOwner, usize)>) {
+    pub fn recount<'a>(&mut self, under_way: impl Iterator<Item = (&'a WorkTenant, usize)>) {
         for entry in self.uses.values_mut() {
             entry.under_way = 0;
         }
@@ -71,7 +71,7 @@
     }
 
     /// Forgets a tenant if it has nothing under way.
-    pub fn forget_if_idle(&mut self, tenant: &WorkOwner) {
+    pub fn forget_if_idle(&mut self, tenant: &WorkTenant) {
         let known = self.uses.get(tenant);
         if known.is_some_and(|entry| entry.under_way == 0) {
             self.uses.remove(tenant);
@@ -79,9 +79,9 @@
     }
 
     /// When it is a tenant's turn, compared with others.
-    pub fn turn(&self, tenant: &WorkOwner) -> TenantTurn {
+    pub fn turn(&self, tenant: &WorkTenant) -> TenantOrder {
         let known = self.uses.get(tenant).copied().unwrap_or_default();
-        TenantTurn {
+        TenantOrder {
             under_way: known.under_way,
             last_start: known.last_start,
         }
@@ -89,19 +89,19 @@
 
     /// True if a tenant has more under way than each would have if all did alike that have
     /// something under way or are among those that wait.
-    pub fn is_beyond_share<'a>(
+    pub fn exceeds_share<'a>(
         &'a self,
-        tenant: &'a WorkOwner,
-        waiting: impl Iterator<Item = &'a WorkOwner>,
+        tenant: &'a WorkTenant,
+        waiting: impl Iterator<Item = &'a WorkTenant>,
     ) -> bool {
         let active = self.uses.iter().filter(|(_, entry)| entry.under_way > 0);
-        let mut sharing: BTreeSet<&WorkOwner> = active.map(|(tenant, _)| tenant).collect();
+        let mut sharing: BTreeSet<&WorkTenant> = active.map(|(tenant, _)| tenant).collect();
         sharing.extend(waiting);
         sharing.insert(tenant);
         self.turn(tenant).under_way * sharing.len() > self.total
     }
 
-    fn entry(&mut self, tenant: &WorkOwner) -> &mut TenantUse {
+    fn entry(&mut self, tenant: &WorkTenant) -> &mut TenantUse {
         if !self.uses.contains_key(tenant) {
             self.uses.insert(tenant.clone(), TenantUse::default());
         }
--- a/crates/sloetrail-balance/src/tests.rs
+++ b/crates/sloetrail-balance/src/tests.rs
@@ -1,5 +1,5 @@
 use crate::{
-    AttemptOutcome, Balancer, BalancerSettings, ConcurrencyLimit, Demand, EngineReport,
+    AttemptOutcome, Balancer, BalancerSettings, ConcurrencyLimit, EngineReport, EngineRequirements,
     LatencyQuantile, ListedEngine, ReportedState, RetryBudget, WorkClass,
 };
 use rand::rngs::StdRng;
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 mod cold;
-mod place_queue;
-mod places;
+mod locality;
 mod served_shares;
+mod slot_queue;
 mod tenant_shares;
 
 static EVERYWHERE: LazyLock<AllowedRegions> = LazyLock::new(AllowedRegions::everywhere);
@@ -62,8 +62,8 @@
     balancer.choose(Timestamp(now), &mut random, demand(WorkClass::Live, &none))
 }
 
-fn demand(class: WorkClass, excluded: &BTreeSet<EngineId>) -> Demand<'_> {
-    Demand {
+fn demand(class: WorkClass, excluded: &BTreeSet<EngineId>) -> EngineRequirements<'_> {
+    EngineRequirements {
         class,
         excluded,
         regions: &EVERYWHERE,
@@ -291,11 +291,11 @@
     let mut balancer = balancer();
     let id = EngineId::from("near-1");
     let second = Duration::from_millis(1_000);
-    assert!(balancer.is_unheard(&id, Timestamp(100), second));
+    assert!(balancer.is_unconfirmed(&id, Timestamp(100), second));
     balancer.report(&id, report(100, ReportedState::Serving, 0));
     balancer.confirm(&id, Timestamp(900), WeightVersion(2));
-    assert!(!balancer.is_unheard(&id, Timestamp(1_899), second));
-    assert!(balancer.is_unheard(&id, Timestamp(1_900), second));
+    assert!(!balancer.is_unconfirmed(&id, Timestamp(1_899), second));
+    assert!(balancer.is_unconfirmed(&id, Timestamp(1_900), second));
     assert_eq!(balancer.version_of(&id), WeightVersion(2));
     assert_eq!(choose(&mut balancer, 1_800), Some(id));
 }
@@ -310,13 +310,13 @@
     let mut within = |scale: f64, warm_up: usize| {
         for _ in 0..warm_up {
             let took = answer(&mut random, scale);
-            quantile.note(took);
+            quantile.record(took);
         }
         let mut count = 0;
         for _ in 0..1_000 {
             let took = answer(&mut random, scale);
-            count += usize::from(took <= quantile.time());
-            quantile.note(took);
+            count += usize::from(took <= quantile.estimate());
+            quantile.record(took);
         }
         count
     };
@@ -329,6 +329,6 @@
 #[test]
 fn the_first_answer_is_the_first_estimate() {
     let mut quantile = LatencyQuantile::default();
-    quantile.note(Duration::from_millis(80));
-    assert_eq!(quantile.time(), Duration::from_millis(80));
+    quantile.record(Duration::from_millis(80));
+    assert_eq!(quantile.estimate(), Duration::from_millis(80));
 }
--- a/crates/sloetrail-balance/src/tests/cold.rs
+++ b/crates/sloetrail-balance/src/tests/cold.rs
@@ -1,6 +1,6 @@
 //! What cold engines get, from one sender and from all together.
 
-use super::places::{ENGINES, choose, listed, mark, serving};
+use super::locality::{ENGINES, choose, listed, mark, serving};
 use super::{EVERYWHERE, report};
 use crate::{ColdBudget, ColdEngine, ListedEngine, ReportedState, SendBound, SendWindow};
 use sloetrail_types::{EngineId, Timestamp, ZoneName};
@@ -76,7 +76,7 @@
     let mut sends = Vec::new();
     for now in (0..10_000).step_by(7) {
         if window.has_room(Timestamp(now), bound) {
-            window.note(Timestamp(now));
+            window.record(Timestamp(now));
             sends.push(now);
         }
     }
@@ -98,11 +98,11 @@
 fn all_nodes_together_send_a_cold_back_end_no_more_than_it_bears() {
     for nodes in [1, 3, 7, 8, 83, 350] {
         let names: Vec<String> = (0..nodes).map(|number| format!("node-{number}")).collect();
-        for bears in [0.3, 1.0, 7.9, 40.0] {
+        for sustained_per_second in [0.3, 1.0, 7.9, 40.0] {
             let budget = ColdBudget {
-                bears,
-                most: bears * 1.5 + 5.0,
-                ways: 1,
+                sustained_per_second,
+                max_per_second: sustained_per_second * 1.5 + 5.0,
+                senders: 1,
             };
             let bound = |own: &String| {
                 let senders = names.iter().map(String::as_str);
@@ -111,7 +111,10 @@
             let bounds = names.iter().map(bound);
             let rate = bounds.map(|bound| bound.most as f64 / bound.span.as_secs_f64());
             let rate: f64 = rate.sum();
-            assert!(rate <= bears + 1e-9, "{nodes} nodes, {bears}: {rate}");
+            assert!(
+                rate <= sustained_per_second + 1e-9,
+                "{nodes} nodes, {sustained_per_second}: {rate}"
+            );
             assert!(rate > 0.0, "somebody may send");
         }
     }
@@ -119,18 +122,25 @@
 
 #[test]
 fn an_owner_and_its_successor_together_keep_the_most() {
-    for (bears, excess, slack, ways) in [
+    for (sustained_per_second, excess, slack, senders) in [
         (7.9, 1.5, 5.0, 1),
         (7.9, 1.5, 5.0, 2),
         (40.0, 1.5, 5.0, 1),
         (3.0, 1.0, 0.0, 1),
     ] {
-        let most = bears * excess + slack;
-        let budget = ColdBudget { bears, most, ways };
+        let max_per_second = sustained_per_second * excess + slack;
+        let budget = ColdBudget {
+            sustained_per_second,
+            max_per_second,
+            senders,
+        };
         let cold = budget.owner_bound().most;
-        let unnoticed = budget.unnoticed_bound().most;
-        let both = (ways * (cold + unnoticed.max(cold))) as f64;
-        assert!(both <= most, "{bears}: {cold} and {unnoticed} of {most}");
+        let unnoticed = budget.possibly_cold_bound().most;
+        let both = (senders * (cold + unnoticed.max(cold))) as f64;
+        assert!(
+            both <= max_per_second,
+            "{sustained_per_second}: {cold} and {unnoticed} of {max_per_second}"
+        );
         assert!(cold >= 1);
     }
 }
--- a/crates/sloetrail-balance/src/tests/places.rs
+++ b/crates/sloetrail-balance/src/tests/locality.rs
@@ -2,7 +2,8 @@
 
 use super::{EVERYWHERE, report};
 use crate::{
-    AttemptOutcome, Balancer, BalancerSettings, Demand, ListedEngine, ReportedState, WorkClass,
+    AttemptOutcome, Balancer, BalancerSettings, EngineRequirements, ListedEngine, ReportedState,
+    WorkClass,
 };
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -49,7 +50,7 @@
 fn choose_in(balancer: &mut Balancer, regions: &AllowedRegions, now: u64) -> Option<String> {
     let mut random = StdRng::seed_from_u64(3);
     let excluded = BTreeSet::new();
-    let demand = Demand {
+    let demand = EngineRequirements {
         class: WorkClass::Live,
         excluded: &excluded,
         regions,
--- a/crates/sloetrail-balance/src/tests/served_shares.rs
+++ b/crates/sloetrail-balance/src/tests/served_shares.rs
@@ -5,7 +5,7 @@
 
 fn noted(shares: &mut ServedShares, kind: Urgency, served: usize, asked: usize) {
     for number in 0..asked {
-        shares.note(kind, number < served);
+        shares.record(kind, number < served);
     }
 }
 
--- a/crates/sloetrail-balance/src/tests/tenant_shares.rs
+++ b/crates/sloetrail-balance/src/tests/tenant_shares.rs
@@ -1,10 +1,10 @@
 //! Which tenant's turn it is, and when one has more than its share.
 
-use crate::{TenantShares, WorkOwner};
+use crate::{TenantShares, WorkTenant};
 use sloetrail_types::TenantName;
 use std::collections::{BTreeMap, VecDeque};
 
-fn tenant(name: &str) -> WorkOwner {
+fn tenant(name: &str) -> WorkTenant {
     Some(TenantName::from(name))
 }
 
@@ -12,7 +12,7 @@
     let mut shares = TenantShares::default();
     for (name, count) in under_way {
         for _ in 0..*count {
-            shares.began(&tenant(name));
+            shares.record_start(&tenant(name));
         }
     }
     shares
@@ -30,11 +30,11 @@
 fn of_tenants_with_as_much_under_way_the_one_served_longest_ago_goes_first() {
     let mut shares = shares(&[("first", 1), ("second", 1)]);
     assert!(shares.turn(&tenant("first")) < shares.turn(&tenant("second")));
-    shares.ended(&tenant("first"));
-    shares.ended(&tenant("second"));
+    shares.record_end(&tenant("first"));
+    shares.record_end(&tenant("second"));
     assert!(shares.turn(&tenant("first")) < shares.turn(&tenant("second")));
-    shares.began(&tenant("first"));
-    shares.ended(&tenant("first"));
+    shares.record_start(&tenant("first"));
+    shares.record_end(&tenant("first"));
     assert!(shares.turn(&tenant("second")) < shares.turn(&tenant("first")));
 }
 
@@ -42,13 +42,13 @@
 fn a_tenant_is_beyond_its_share_only_beside_others() {
     let alone = shares(&[("much", 6)]);
     let (much, other) = (tenant("much"), tenant("other"));
-    assert!(!alone.is_beyond_share(&much, [&much].into_iter()));
-    assert!(alone.is_beyond_share(&much, [&much, &other].into_iter()));
+    assert!(!alone.exceeds_share(&much, [&much].into_iter()));
+    assert!(alone.exceeds_share(&much, [&much, &other].into_iter()));
     let even = shares(&[("much", 3), ("other", 3)]);
-    assert!(!even.is_beyond_share(&much, [&much, &other].into_iter()));
+    assert!(!even.exceeds_share(&much, [&much, &other].into_iter()));
     let uneven = shares(&[("much", 4), ("other", 3)]);
-    assert!(uneven.is_beyond_share(&much, [].into_iter()));
-    assert!(!uneven.is_beyond_share(&other, [].into_iter()));
+    assert!(uneven.exceeds_share(&much, [].into_iter()));
+    assert!(!uneven.exceeds_share(&other, [].into_iter()));
 }
 
 #[test]
@@ -59,16 +59,16 @@
     assert!(shares.turn(&first) < shares.turn(&second));
     shares.recount([(&first, 1)].into_iter());
     assert!(shares.turn(&second) < shares.turn(&first));
-    assert!(shares.is_beyond_share(&first, [&second].into_iter()));
+    assert!(shares.exceeds_share(&first, [&second].into_iter()));
 }
 
 #[test]
 fn an_end_that_has_no_start_counts_for_nothing() {
     let mut shares = shares(&[("one", 1)]);
-    shares.ended(&tenant("other"));
-    shares.ended(&tenant("one"));
-    shares.ended(&tenant("one"));
-    assert!(!shares.is_beyond_share(&tenant("one"), [&tenant("other")].into_iter()));
+    shares.record_end(&tenant("other"));
+    shares.record_end(&tenant("one"));
+    shares.record_end(&tenant("one"));
+    assert!(!shares.exceeds_share(&tenant("one"), [&tenant("other")].into_iter()));
     shares.forget_idle();
     assert_eq!(shares.turn(&tenant("one")), shares.turn(&tenant("other")));
 }
@@ -132,14 +132,14 @@
 fn least_under_way(loads: &[Load], places: usize) -> BTreeMap<&'static str, usize> {
     let mut shares = TenantShares::default();
     ends(loads, places, |under_way, waiting| {
-        let owners: Vec<(WorkOwner, usize)> = under_way
+        let owners: Vec<(WorkTenant, usize)> = under_way
             .iter()
             .map(|(name, count)| (tenant(name), *count))
             .collect();
         shares.recount(owners.iter().map(|(owner, count)| (owner, *count)));
         let chosen = waiting.iter().min_by_key(|name| shares.turn(&tenant(name)));
         let chosen = *chosen.expect("one waits");
-        shares.began(&tenant(chosen));
+        shares.record_start(&tenant(chosen));
         chosen
     })
 }
--- a/crates/sloetrail-lab/src/experiment/simulation.rs
+++ b/crates/sloetrail-lab/src/experiment/simulation.rs
@@ -7,8 +7,8 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use sloetrail_balance::{
-    AttemptOutcome, Balancer, BalancerSettings, Demand, EngineReport, ListedEngine, ReportedState,
-    WorkClass,
+    AttemptOutcome, Balancer, BalancerSettings, EngineReport, EngineRequirements, ListedEngine,
+    ReportedState, WorkClass,
 };
 use sloetrail_ledger::{FinishedSample, HandOver, Ledger, Limits, NewSample, StoredRun};
 use sloetrail_rollout::{EngineWeights, RolloutLimits, RolloutPlanner, RolloutStep};
@@ -256,7 +256,7 @@
         let now = self.timestamp();
         let nobody = BTreeSet::new();
         let balancer = &mut self.balancer;
-        let demand = Demand {
+        let demand = EngineRequirements {
             class: WorkClass::Sample,
             excluded: &nobody,
             regions: &AllowedRegions::everywhere(),
--- a/crates/sloetrail-node/src/gateway/pool.rs
+++ b/crates/sloetrail-node/src/gateway/pool.rs
@@ -5,8 +5,8 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use sloetrail_balance::{
-    AttemptOutcome, Balancer, BalancerSettings, Demand, EngineReport, ListedEngine, RetryBudget,
-    WorkClass,
+    AttemptOutcome, Balancer, BalancerSettings, EngineReport, EngineRequirements, ListedEngine,
+    RetryBudget, WorkClass,
 };
 use sloetrail_config::{NodeSettings, Service};
 use sloetrail_result::{Problem, ResultCode};
@@ -99,9 +99,9 @@
     }
 
     /// True if there was no news of an engine within `age`.
-    pub(crate) fn is_unheard(&self, engine: &EngineId, age: Duration) -> bool {
+    pub(crate) fn is_unconfirmed(&self, engine: &EngineId, age: Duration) -> bool {
         let now = self.clock.now();
-        self.choice().balancer.is_unheard(engine, now, age)
+        self.choice().balancer.is_unconfirmed(engine, now, age)
     }
 
     /// The weights that an engine uses, as last reported.
@@ -118,7 +118,7 @@
     }
 
     pub(crate) fn available(&self) -> usize {
-        self.choice().balancer.available(self.clock.now())
+        self.choice().balancer.available_engines(self.clock.now())
     }
 
     pub(crate) fn earn_retry(&self) {
@@ -138,7 +138,7 @@
         let now = self.clock.now();
         let mut choice = self.choice();
         let Choice { balancer, random } = &mut *choice;
-        let demand = Demand {
+        let demand = EngineRequirements {
             class,
             excluded,
             regions: &AllowedRegions::everywhere(),
--- a/crates/sloetrail-node/src/owner/dispatcher.rs
+++ b/crates/sloetrail-node/src/owner/dispatcher.rs
@@ -131,7 +131,7 @@
     };
     let unheard = |machine: &&Machine| {
         let id = EngineId::new(machine.id.clone());
-        machine.zone != state.settings.zone && pool.is_unheard(&id, ASK_PERIOD)
+        machine.zone != state.settings.zone && pool.is_unconfirmed(&id, ASK_PERIOD)
     };
     let directory = state.directory();
     let engines = directory.engines_of(&run.service);
--- a/crates/sloetrail-routing/src/configuration.rs
+++ b/crates/sloetrail-routing/src/configuration.rs
@@ -110,7 +110,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ColdBounds {
     /// How long it is cold after a start.
-    pub lasts: Duration,
+    pub cold_duration: Duration,
     /// Requests a second from all nodes together; nothing means as many as a warm one.
     pub per_second: Option<f64>,
 }
@@ -164,7 +164,7 @@
 
 impl ServingConfiguration {
     /// The routes and tenants that have no region in common.
-    pub fn exclusions(&self) -> impl Iterator<Item = (&Route, &Tenant)> {
+    pub fn region_conflicts(&self) -> impl Iterator<Item = (&Route, &Tenant)> {
         let tenants = self.tenants.as_ref().map(Tenants::by_name);
         let tenants: Vec<&Tenant> = tenants.unwrap_or_default().into_values().collect();
         self.routes.iter().flat_map(move |route| {
@@ -213,7 +213,7 @@
     /// True if live requests go to a service: a route of another kind than batches does.
     pub fn has_live_requests(&self, service: &ServiceName) -> bool {
         let mut routes = self.routes.iter();
-        routes.any(|route| route.leads_to(service) && route.kind != RouteKind::Rollout)
+        routes.any(|route| route.routes_to(service) && route.kind != RouteKind::Rollout)
     }
 
     /// The services whose batches need an owner: those that a rollout route names.
@@ -251,7 +251,7 @@
 
     fn rollout_routes(&self, service: &ServiceName) -> impl Iterator<Item = &Route> {
         let routes = self.routes.iter().map(|route| &**route);
-        routes.filter(|route| route.leads_to(service) && route.kind == RouteKind::Rollout)
+        routes.filter(|route| route.routes_to(service) && route.kind == RouteKind::Rollout)
     }
 
     /// The regions in which requests of a route may be served, for each caller that there
@@ -281,7 +281,7 @@
 
 impl Route {
     /// True if requests of the route may go to a service.
-    pub fn leads_to(&self, service: &ServiceName) -> bool {
+    pub fn routes_to(&self, service: &ServiceName) -> bool {
         self.services.iter().any(|part| part.service == *service)
     }
 
@@ -398,9 +398,9 @@
 
 /// Figures that cannot be used are left out: no time, no bound.
 fn cold_bounds(seconds: Option<f64>, per_second: Option<f64>) -> ColdBounds {
-    let lasts = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
+    let cold_duration = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
     ColdBounds {
-        lasts: lasts.unwrap_or_default(),
+        cold_duration: cold_duration.unwrap_or_default(),
         per_second: per_second.filter(|rate| rate.is_finite() && *rate > 0.0),
     }
 }
--- a/crates/sloetrail-routing/src/tenants.rs
+++ b/crates/sloetrail-routing/src/tenants.rs
@@ -115,7 +115,7 @@
     }
 
     /// The tenant that a key belongs to.
-    pub fn of_key(&self, key: &str) -> Option<&Arc<Tenant>> {
+    pub fn find_by_key(&self, key: &str) -> Option<&Arc<Tenant>> {
         self.by_key.get(key)
     }
 }
--- a/crates/sloetrail-routing/src/tests.rs
+++ b/crates/sloetrail-routing/src/tests.rs
@@ -98,7 +98,7 @@
     .expect("sound");
     let tenants = configuration.tenants.expect("named");
     let tenant = |key: &str| {
-        let tenant = tenants.of_key(key)?;
+        let tenant = tenants.find_by_key(key)?;
         Some((tenant.name.as_str().to_owned(), tenant.priority))
     };
     assert_eq!(tenant("north-key-2"), Some(("north".to_owned(), Some(1))));
@@ -210,7 +210,7 @@
     assert_eq!(regions("/a/"), north);
     assert!(regions("/b/").is_everywhere() && regions("/c/").is_everywhere());
     let tenants = configuration.tenants.as_ref().expect("given");
-    let tenant = tenants.of_key("0123456789").expect("known");
+    let tenant = tenants.find_by_key("0123456789").expect("known");
     assert_eq!(tenant.allowed_regions.and(&north), north);
 }
 
@@ -224,10 +224,10 @@
     }))
     .expect("sound");
     let bounds = |name| configuration.cold_bounds(&ServiceName::from(name));
-    assert_eq!(bounds("one").lasts, Duration::from_secs(3));
+    assert_eq!(bounds("one").cold_duration, Duration::from_secs(3));
     assert_eq!(bounds("one").per_second, Some(7.9));
     assert_eq!(
-        (bounds("two").per_second, bounds("two").lasts),
+        (bounds("two").per_second, bounds("two").cold_duration),
         (None, Duration::from_secs(3))
     );
     for name in ["three", "four", "unknown"] {
--- a/crates/sloetrail-serving/src/cold_budgets.rs
+++ b/crates/sloetrail-serving/src/cold_budgets.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ColdBudgets {
     /// Requests a second that one bears.
-    pub(crate) bears: f64,
+    pub(crate) sustained_per_second: f64,
     /// The most that may reach one in any second.
-    pub(crate) most: f64,
+    pub(crate) max_per_second: f64,
     /// The regions of the batches of each owner.
     pub(crate) owners: BTreeSet<AllowedRegions>,
     /// True if live requests go to the service.
@@ -22,9 +22,9 @@
     pub(crate) fn of_region(&self, region: Option<&RegionName>) -> ColdBudget {
         let owners = self.owners.iter().filter(|owner| owner.allows(region));
         ColdBudget {
-            bears: self.bears,
-            most: self.most,
-            ways: owners.count() + usize::from(self.has_live_requests),
+            sustained_per_second: self.sustained_per_second,
+            max_per_second: self.max_per_second,
+            senders: owners.count() + usize::from(self.has_live_requests),
         }
     }
 }
--- a/crates/sloetrail-serving/src/cold_budgets/tests.rs
+++ b/crates/sloetrail-serving/src/cold_budgets/tests.rs
@@ -14,8 +14,8 @@
 fn a_back_end_is_shared_by_live_requests_and_the_owners_that_may_use_its_region() {
     let only = |names: &[&str]| AllowedRegions::only(names.iter().copied().map(RegionName::from));
     let budgets = ColdBudgets {
-        bears: 8.0,
-        most: 17.0,
+        sustained_per_second: 8.0,
+        max_per_second: 17.0,
         owners: [
             AllowedRegions::everywhere(),
             only(&["north"]),
@@ -24,15 +24,15 @@
         .into(),
         has_live_requests: true,
     };
-    let ways = |region: Option<&str>| {
+    let senders = |region: Option<&str>| {
         let region = region.map(RegionName::from);
-        budgets.of_region(region.as_ref()).ways
+        budgets.of_region(region.as_ref()).senders
     };
-    assert_eq!(ways(Some("north")), 4);
-    assert_eq!(ways(Some("south")), 3);
-    assert_eq!(ways(Some("east")), 2);
-    assert_eq!(ways(None), 2, "nothing that is bound goes there");
-    assert_eq!(budgets.of_region(None).bears, 8.0);
+    assert_eq!(senders(Some("north")), 4);
+    assert_eq!(senders(Some("south")), 3);
+    assert_eq!(senders(Some("east")), 2);
+    assert_eq!(senders(None), 2, "nothing that is bound goes there");
+    assert_eq!(budgets.of_region(None).sustained_per_second, 8.0);
 }
 
 /// The owner of batches that an earlier configuration bound sends there as well.
@@ -62,14 +62,18 @@
         asked_at: None,
         interruptions: 0,
     };
-    let ways = |leased: &LeasedSets, region: &str| {
+    let senders = |leased: &LeasedSets, region: &str| {
         let models = ServiceName::from("models");
         let budgets = ColdTolerance::default().budgets(&configuration, leased, &models);
         let region = RegionName::from(region);
-        budgets.expect("bounded").of_region(Some(&region)).ways
+        budgets.expect("bounded").of_region(Some(&region)).senders
     };
     let leased = LeasedSets::of_view(&leases);
-    assert_eq!(ways(&LeasedSets::default(), "north"), 1);
-    assert_eq!(ways(&leased, "north"), 2);
-    assert_eq!(ways(&leased, "south"), 2, "the owners that are configured");
+    assert_eq!(senders(&LeasedSets::default(), "north"), 1);
+    assert_eq!(senders(&leased, "north"), 2);
+    assert_eq!(
+        senders(&leased, "south"),
+        2,
+        "the owners that are configured"
+    );
 }
--- a/crates/sloetrail-serving/src/directory.rs
+++ b/crates/sloetrail-serving/src/directory.rs
@@ -67,16 +67,16 @@
     /// Until when a back end is cold; nothing if it is warm. Either its row said so, and the
     /// time counts from when that was read, which is no sooner than when it was written; or
     /// an evacuation of its zone was withdrawn: the news of that may come before the news
-    /// that it is cold, so it counts as cold for as long as after a start (`lasts`).
+    /// that it is cold, so it counts as cold for as long as after a start (`cold_duration`).
     pub(crate) fn cold_until(
         &self,
         back_end: &BackEnd,
         evacuations: &Evacuations,
-        lasts: Duration,
+        cold_duration: Duration,
     ) -> Option<BootInstant> {
         let told = self.cold_until.get(&back_end.id).copied();
         let withdrawn_at = evacuations.withdrawn_at(&back_end.zone);
-        let returning = withdrawn_at.map(|at| at + lasts);
+        let returning = withdrawn_at.map(|at| at + cold_duration);
         told.max(returning)
             .filter(|until| *until > BootInstant::now())
     }
--- a/crates/sloetrail-serving/src/gateway/caller.rs
+++ b/crates/sloetrail-serving/src/gateway/caller.rs
@@ -51,7 +51,7 @@
     };
     let names = context.dialect.headers();
     let key = headers::text(headers, &names.api_key);
-    let tenant = key.and_then(|key| tenants.of_key(key));
+    let tenant = key.and_then(|key| tenants.find_by_key(key));
     match (tenant, key, demand) {
         (Some(tenant), _, _) => Ok(Some(Arc::clone(tenant))),
         (None, _, KeyDemand::Optional) => Ok(None),
--- a/crates/sloetrail-serving/src/gateway/live.rs
+++ b/crates/sloetrail-serving/src/gateway/live.rs
@@ -20,7 +20,7 @@
 use futures_util::future::BoxFuture;
 use futures_util::stream::FuturesUnordered;
 use http::StatusCode;
-use sloetrail_balance::PlaceRequest;
+use sloetrail_balance::SlotRequest;
 use sloetrail_clock::BootInstant;
 use sloetrail_result::{Problem, ResultCode};
 use sloetrail_routing::{Route, RouteKind};
@@ -176,7 +176,7 @@
 
     /// The search for places at back ends that may serve the request.
     pub(crate) fn place_seeker(&self) -> PlaceSeeker {
-        let request = PlaceRequest {
+        let request = SlotRequest {
             urgency: self.urgency,
             tenant: self.tenant.clone(),
             regions: self.regions.clone(),
@@ -192,7 +192,7 @@
         wait: &mut PlaceWait,
     ) -> bool {
         let outlook = self.place_outlook(seeker);
-        let is_held_back = outlook.is_some_and(|outlook| outlook.held_back_by > 0);
+        let is_held_back = outlook.is_some_and(|outlook| outlook.requests_ahead > 0);
         let now = BootInstant::now();
         let bounds = WaitBounds {
             latency_target: self.route.latency_target,
@@ -220,7 +220,7 @@
         let (service, regions) = (&self.service, &self.regions);
         match self
             .place_outlook(seeker)
-            .map(|outlook| outlook.held_back_by)
+            .map(|outlook| outlook.requests_ahead)
         {
             None => format!("service {service}: no back end takes work; regions: {regions}"),
             Some(0) => format!("service {service}: no back end has room"),
--- a/crates/sloetrail-serving/src/gateway/place_wait.rs
+++ b/crates/sloetrail-serving/src/gateway/place_wait.rs
@@ -44,7 +44,7 @@
     pub(crate) running: usize,
     /// Requests that get a place first because this one's tenant has more than its share
     /// under way; zero while it has not.
-    pub(crate) held_back_by: usize,
+    pub(crate) requests_ahead: usize,
 }
 
 impl PlaceOutlook {
@@ -57,7 +57,7 @@
     fn soonest(&self) -> Duration {
         let running = u32::try_from(self.running).unwrap_or(u32::MAX);
         let next_answer = self.answer_time() / running.max(1);
-        let first = u32::try_from(self.held_back_by).unwrap_or(u32::MAX);
+        let first = u32::try_from(self.requests_ahead).unwrap_or(u32::MAX);
         let own_turn = next_answer.saturating_mul(first.saturating_add(1));
         self.paused_for.unwrap_or(own_turn)
     }
--- a/crates/sloetrail-serving/src/gateway/place_wait/tests.rs
+++ b/crates/sloetrail-serving/src/gateway/place_wait/tests.rs
@@ -12,7 +12,7 @@
         paused_for: None,
         answer_time: Some(milliseconds(answer_time)),
         running,
-        held_back_by: 0,
+        requests_ahead: 0,
     })
 }
 
@@ -21,7 +21,7 @@
         paused_for: Some(milliseconds(time)),
         answer_time: Some(milliseconds(answer_time)),
         running: 0,
-        held_back_by: 0,
+        requests_ahead: 0,
     })
 }
 
@@ -50,10 +50,10 @@
 }
 
 /// Back ends that are full, and requests that go before this one.
-fn held_back(answer_time: u64, running: usize, held_back_by: usize) -> Option<PlaceOutlook> {
+fn held_back(answer_time: u64, running: usize, requests_ahead: usize) -> Option<PlaceOutlook> {
     let outlook = full(answer_time, running)?;
     Some(PlaceOutlook {
-        held_back_by,
+        requests_ahead,
         ..outlook
     })
 }
--- a/crates/sloetrail-serving/src/gateway/regions/tests.rs
+++ b/crates/sloetrail-serving/src/gateway/regions/tests.rs
@@ -29,7 +29,7 @@
     let configuration = configuration();
     let route = |path| configuration.routes.find("a.example", path).expect("found");
     let tenants = configuration.tenants.as_ref().expect("given");
-    let tenant = Some(&**tenants.of_key(KEY).expect("known"));
+    let tenant = Some(&**tenants.find_by_key(KEY).expect("known"));
     assert_eq!(allowed(route("/n/"), tenant), Ok(only(&["north"])));
     assert_eq!(
         allowed(route("/any/"), tenant),
@@ -73,7 +73,7 @@
 #[test]
 fn routes_and_tenants_without_a_common_region_are_found_before_a_request() {
     let configuration = configuration();
-    let pairs = configuration.exclusions();
+    let pairs = configuration.region_conflicts();
     let pairs: Vec<(&str, &str)> = pairs
         .map(|(route, tenant)| (route.name.as_str(), tenant.name.as_str()))
         .collect();
--- a/crates/sloetrail-serving/src/operator.rs
+++ b/crates/sloetrail-serving/src/operator.rs
@@ -138,7 +138,7 @@
 /// Tells which routes and tenants have no region in common: whoever wrote the file learns it
 /// before the first request is refused.
 fn tell_exclusions(configuration: &ServingConfiguration) {
-    for (route, tenant) in configuration.exclusions().take(EXCLUSIONS_TOLD) {
+    for (route, tenant) in configuration.region_conflicts().take(EXCLUSIONS_TOLD) {
         events::emit(&Event::RegionsExclude {
             route: &route.name,
             tenant: tenant.name.as_str(),
--- a/crates/sloetrail-serving/src/owner/batch_turns.rs
+++ b/crates/sloetrail-serving/src/owner/batch_turns.rs
@@ -4,7 +4,7 @@
 //! have under way, and within a tenant the batch that was accepted first goes first. A tenant
 //! that submits much so does not delay the others by its queue.
 
-use sloetrail_balance::{TenantShares, WorkOwner};
+use sloetrail_balance::{TenantShares, WorkTenant};
 use sloetrail_batch::{BatchHeader, BatchId};
 use sloetrail_types::Urgency;
 use std::collections::{BTreeMap, VecDeque};
@@ -18,7 +18,7 @@
 
 /// The batches of one rank, those of each tenant in the order of their acceptance. No tenant
 /// is held that has none.
-type Rank = BTreeMap<WorkOwner, VecDeque<Candidate>>;
+type Rank = BTreeMap<WorkTenant, VecDeque<Candidate>>;
 
 /// The batches that have not been found to have nothing to start.
 pub(super) struct BatchTurns<'a> {
@@ -53,7 +53,7 @@
         for mut rank in ranks.into_values() {
             while let Some((tenant, id)) = next(shares, &rank) {
                 if start(id) {
-                    shares.began(tenant);
+                    shares.record_start(tenant);
                     continue;
                 }
                 let tenant = tenant.clone();
@@ -65,7 +65,7 @@
 
 /// The batch whose turn it is in a rank, with its tenant. Of tenants whose turn it is alike,
 /// the one whose batch was accepted first.
-fn next<'b>(shares: &TenantShares, rank: &'b Rank) -> Option<(&'b WorkOwner, &'b BatchId)> {
+fn next<'b>(shares: &TenantShares, rank: &'b Rank) -> Option<(&'b WorkTenant, &'b BatchId)> {
     let firsts = rank
         .iter()
         .filter_map(|(tenant, of_tenant)| Some((tenant, of_tenant.front()?)));
@@ -73,7 +73,7 @@
     next.map(|(tenant, first)| (tenant, &first.id))
 }
 
-fn remove_first(rank: &mut Rank, tenant: &WorkOwner) {
+fn remove_first(rank: &mut Rank, tenant: &WorkTenant) {
     let Some(of_tenant) = rank.get_mut(tenant) else {
         return;
     };
--- a/crates/sloetrail-serving/src/owner/engine.rs
+++ b/crates/sloetrail-serving/src/owner/engine.rs
@@ -189,7 +189,7 @@
         let is_new = now < self.taken_in_at + TAKEN_IN_FOR;
         Some(match self.is_cold(now) || is_new {
             true => budget.owner_bound(),
-            false => budget.unnoticed_bound(),
+            false => budget.possibly_cold_bound(),
         })
     }
 
--- a/crates/sloetrail-serving/src/owner/engine_sends.rs
+++ b/crates/sloetrail-serving/src/owner/engine_sends.rs
@@ -36,7 +36,7 @@
 
     /// Takes in a send.
     pub(super) fn note(&self, now: BootInstant) {
-        self.window().note(self.timestamp(now));
+        self.window().record(self.timestamp(now));
     }
 
     /// Takes in a send if it keeps the bound; false if it does not and may not be made.
@@ -45,7 +45,7 @@
         let mut window = self.window();
         let is_allowed = bound.is_none_or(|bound| window.has_room(at, bound));
         if is_allowed {
-            window.note(at);
+            window.record(at);
         }
         is_allowed
     }
--- a/crates/sloetrail-serving/src/owner/engines/tests/cold.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests/cold.rs
@@ -10,9 +10,9 @@
 
 /// What is allowed is 16 a second, 7 of them to a cold engine.
 const BUDGET: ColdBudget = ColdBudget {
-    bears: 7.9,
-    most: 16.85,
-    ways: 1,
+    sustained_per_second: 7.9,
+    max_per_second: 16.85,
+    senders: 1,
 };
 
 fn spare(pool: &mut EnginePool, cold: &[&EngineId], until: BootInstant) {
--- a/crates/sloetrail-serving/src/owner/service_owner.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner.rs
@@ -298,7 +298,7 @@
             return;
         };
         let evacuations = &in_force.evacuations;
-        let lasts = configuration.cold_bounds(&self.service).lasts;
+        let cold_duration = configuration.cold_bounds(&self.service).cold_duration;
         let settings = &self.context.settings;
         let leased = self.context.leased_sets.borrow().clone();
         let budgets = settings.cold.budgets(configuration, &leased, &self.service);
@@ -308,7 +308,7 @@
         };
         self.engines.set_sparing(|back_end| Sparing {
             evacuated: evacuations.covers(&back_end.zone),
-            cold_until: directory.cold_until(back_end, evacuations, lasts),
+            cold_until: directory.cold_until(back_end, evacuations, cold_duration),
             budget: budget(&back_end.zone),
         });
     }
--- a/crates/sloetrail-serving/src/place_turns.rs
+++ b/crates/sloetrail-serving/src/place_turns.rs
@@ -1,7 +1,7 @@
 //! Those that wait for a place at one service of this node, and how they are woken.
 
 use crate::service_pools::{Place, ServicePools};
-use sloetrail_balance::{PlaceQueue, PlaceRequest, PlaceTicket, WorkOwner};
+use sloetrail_balance::{SlotQueue, SlotRequest, SlotTicket, WorkTenant};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::{AllowedRegions, EngineId, ServiceName, Timestamp};
 use std::collections::{BTreeSet, HashMap};
@@ -11,20 +11,20 @@
 /// The queue of one service.
 #[derive(Debug, Default)]
 pub(crate) struct PlaceTurns {
-    queue: PlaceQueue,
-    wakers: HashMap<PlaceTicket, Arc<Notify>>,
+    queue: SlotQueue,
+    wakers: HashMap<SlotTicket, Arc<Notify>>,
 }
 
 impl PlaceTurns {
     /// Puts a request among those that wait.
-    fn join(&mut self, seeker: &PlaceSeeker) -> PlaceTicket {
+    fn join(&mut self, seeker: &PlaceSeeker) -> SlotTicket {
         let ticket = self.queue.join(&seeker.request, seeker.ticket);
         self.wakers.insert(ticket, Arc::clone(&seeker.woken));
         ticket
     }
 
     /// Takes a request out.
-    fn leave(&mut self, ticket: PlaceTicket) {
+    fn leave(&mut self, ticket: SlotTicket) {
         self.queue.leave(ticket);
         self.wakers.remove(&ticket);
     }
@@ -35,21 +35,21 @@
     }
 
     /// A place was taken.
-    pub(crate) fn began(&mut self, seeker: &PlaceSeeker) {
-        self.queue.began(&seeker.request.tenant);
+    pub(crate) fn record_start(&mut self, seeker: &PlaceSeeker) {
+        self.queue.record_start(&seeker.request.tenant);
         if !seeker.has_had_place {
-            self.queue.note_served(seeker.request.urgency, true);
+            self.queue.record_outcome(seeker.request.urgency, true);
         }
     }
 
     /// A request ended without ever having had a place, though there are some.
     pub(crate) fn missed(&mut self, seeker: &PlaceSeeker) {
-        self.queue.note_served(seeker.request.urgency, false);
+        self.queue.record_outcome(seeker.request.urgency, false);
     }
 
     /// A place of a tenant came free.
-    pub(crate) fn ended(&mut self, tenant: &WorkOwner) {
-        self.queue.ended(tenant);
+    pub(crate) fn record_end(&mut self, tenant: &WorkTenant) {
+        self.queue.record_end(tenant);
     }
 
     /// Offers a place to the first that may use one.
@@ -76,7 +76,7 @@
         let PlaceSeeker {
             request, ticket, ..
         } = seeker;
-        let is_turn = self.queue.is_turn_of(request, *ticket, now, &mut can_serve);
+        let is_turn = self.queue.is_next(request, *ticket, now, &mut can_serve);
         if !is_turn {
             self.wake_first(now, can_serve);
         }
@@ -84,8 +84,8 @@
     }
 
     /// How many that wait go before a request whose tenant is beyond its share.
-    pub(crate) fn held_back_by(&self, seeker: &PlaceSeeker) -> usize {
-        self.queue.held_back_by(&seeker.request, seeker.ticket)
+    pub(crate) fn requests_ahead(&self, seeker: &PlaceSeeker) -> usize {
+        self.queue.requests_ahead(&seeker.request, seeker.ticket)
     }
 }
 
@@ -94,8 +94,8 @@
 pub(crate) struct PlaceSeeker {
     pools: Arc<ServicePools>,
     service: ServiceName,
-    request: PlaceRequest,
-    ticket: Option<PlaceTicket>,
+    request: SlotRequest,
+    ticket: Option<SlotTicket>,
     is_waiting: bool,
     has_had_place: bool,
     woken: Arc<Notify>,
@@ -106,7 +106,7 @@
     pub(crate) fn new(
         pools: &Arc<ServicePools>,
         service: &ServiceName,
-        request: PlaceRequest,
+        request: SlotRequest,
     ) -> Self {
         Self {
             pools: Arc::clone(pools),
@@ -125,7 +125,7 @@
     }
 
     /// Who looks for a place.
-    pub(crate) fn request(&self) -> &PlaceRequest {
+    pub(crate) fn request(&self) -> &SlotRequest {
         &self.request
     }
 
--- a/crates/sloetrail-serving/src/place_turns/tests.rs
+++ b/crates/sloetrail-serving/src/place_turns/tests.rs
@@ -5,7 +5,7 @@
 use crate::settings::ServingSettings;
 use crate::zone_work::ZoneWork;
 use serde_json::json;
-use sloetrail_balance::PlaceRequest;
+use sloetrail_balance::SlotRequest;
 use sloetrail_types::{AllowedRegions, ServiceName, Timestamp, Urgency};
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
 }
 
 fn seeker(pools: &Arc<ServicePools>, priority: u8) -> PlaceSeeker {
-    let request = PlaceRequest {
+    let request = SlotRequest {
         urgency: Urgency::new(None, priority),
         tenant: None,
         regions: AllowedRegions::everywhere(),
@@ -61,7 +61,7 @@
     for _ in 0..REQUESTS {
         let urgent = Urgency::new(None, URGENT);
         pools.with_turns(&ServiceName::from("maps"), |turns| {
-            turns.queue.note_served(urgent, true);
+            turns.queue.record_outcome(urgent, true);
         });
         drop(seeker(&pools, PATIENT));
     }
--- a/crates/sloetrail-serving/src/service_pools.rs
+++ b/crates/sloetrail-serving/src/service_pools.rs
@@ -15,7 +15,7 @@
 use crate::zone_work::{RunningInZone, WorkKind, ZoneWork};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use sloetrail_balance::{AttemptOutcome, LatencyQuantile, WorkClass, WorkOwner};
+use sloetrail_balance::{AttemptOutcome, LatencyQuantile, WorkClass, WorkTenant};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::{AllowedRegions, EngineId, RowVersion, ServiceName, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -165,9 +165,12 @@
         let soonest = pauses.min().unwrap_or_default();
         Some(PlaceOutlook {
             paused_for: (!soonest.is_zero()).then_some(soonest),
-            answer_time: state.answer_times.get(service).map(LatencyQuantile::time),
+            answer_time: state
+                .answer_times
+                .get(service)
+                .map(LatencyQuantile::estimate),
             running: balancer.in_flight(),
-            held_back_by: state.held_back_by(seeker),
+            requests_ahead: state.requests_ahead(seeker),
         })
     }
 
@@ -184,7 +187,7 @@
         state.readmit(service, now);
         let balancer = state.balancers.get(service);
         balancer.map_or(0, |balancer| {
-            balancer.places(now, regions, WorkClass::Sample)
+            balancer.slots(now, regions, WorkClass::Sample)
         })
     }
 
@@ -221,7 +224,7 @@
             return None;
         };
         let directory_version = directory.version;
-        state.turns(service).began(seeker);
+        state.turns(service).record_start(seeker);
         Some(Place {
             _running: self.zone_work.begin(&back_end.zone, WorkKind::Live),
             pools: Arc::clone(self),
@@ -268,24 +271,24 @@
             .answer_times
             .entry(service.clone())
             .or_default()
-            .note(took);
+            .record(took);
     }
 
     /// The time within which nine of ten answers of a service come to this node.
     pub(crate) fn answer_time(&self, service: &ServiceName) -> Duration {
         let state = self.state.lock().expect("not poisoned");
         let known = state.answer_times.get(service);
-        known.map(LatencyQuantile::time).unwrap_or_default()
+        known.map(LatencyQuantile::estimate).unwrap_or_default()
     }
 
-    fn finish(&self, back_end: &BackEnd, tenant: &WorkOwner, outcome: AttemptOutcome) {
+    fn finish(&self, back_end: &BackEnd, tenant: &WorkTenant, outcome: AttemptOutcome) {
         let now = self.now();
         let mut state = self.state.lock().expect("not poisoned");
         state.note_outcome(&back_end.id, outcome);
         if let Some(balancer) = state.balancers.get_mut(&back_end.service) {
             balancer.finish(now, &back_end.id, outcome);
         }
-        state.turns(&back_end.service).ended(tenant);
+        state.turns(&back_end.service).record_end(tenant);
         state.wake_first(&back_end.service, now);
     }
 
@@ -299,7 +302,7 @@
     pools: Arc<ServicePools>,
     back_end: Arc<BackEnd>,
     /// Whose request it was taken for.
-    tenant: WorkOwner,
+    tenant: WorkTenant,
     directory_version: RowVersion,
     ended: bool,
     _running: RunningInZone,
--- a/crates/sloetrail-serving/src/service_pools/state.rs
+++ b/crates/sloetrail-serving/src/service_pools/state.rs
@@ -11,8 +11,8 @@
 use crate::settings::ColdTolerance;
 use rand::rngs::StdRng;
 use sloetrail_balance::{
-    AttemptOutcome, Balancer, BalancerSettings, ColdBudget, ColdEngine, Demand, EngineReport,
-    LatencyQuantile, ListedEngine, ReportedState, SendBound, WorkClass,
+    AttemptOutcome, Balancer, BalancerSettings, ColdBudget, ColdEngine, EngineReport,
+    EngineRequirements, LatencyQuantile, ListedEngine, ReportedState, SendBound, WorkClass,
 };
 use sloetrail_clock::BootInstant;
 use sloetrail_types::{AllowedRegions, EngineId, ServiceName, Timestamp, Topology, WeightVersion};
@@ -119,12 +119,12 @@
             return true;
         };
         let demand = live_demand(excluded, &seeker.request().regions);
-        if turns.is_empty() || !balancer.has_place(now, demand) {
+        if turns.is_empty() || !balancer.has_free_slot(now, demand) {
             return true;
         }
         let nothing = BTreeSet::new();
         turns.ask_turn(seeker, now, |regions| {
-            balancer.has_place(now, live_demand(&nothing, regions))
+            balancer.has_free_slot(now, live_demand(&nothing, regions))
         })
     }
 
@@ -138,13 +138,13 @@
         }
         let nothing = BTreeSet::new();
         turns.wake_first(now, |regions| {
-            balancer.has_place(now, live_demand(&nothing, regions))
+            balancer.has_free_slot(now, live_demand(&nothing, regions))
         });
     }
 
-    pub(super) fn held_back_by(&self, seeker: &PlaceSeeker) -> usize {
+    pub(super) fn requests_ahead(&self, seeker: &PlaceSeeker) -> usize {
         let turns = self.turns.get(seeker.service());
-        turns.map_or(0, |turns| turns.held_back_by(seeker))
+        turns.map_or(0, |turns| turns.requests_ahead(seeker))
     }
 
     /// The names of all nodes, this one included once it has registered.
@@ -177,7 +177,7 @@
 /// How the cold back ends of a service are spared.
 struct Spared {
     /// How long one is cold after it started.
-    lasts: Duration,
+    cold_duration: Duration,
     /// What cold ones may get; nothing means as much as warm ones.
     budgets: Option<ColdBudgets>,
 }
@@ -187,12 +187,12 @@
     fn new(state: &State, service: &ServiceName) -> Self {
         let Some(configuration) = &state.in_force.configuration else {
             return Self {
-                lasts: Duration::ZERO,
+                cold_duration: Duration::ZERO,
                 budgets: None,
             };
         };
         Self {
-            lasts: configuration.cold_bounds(service).lasts,
+            cold_duration: configuration.cold_bounds(service).cold_duration,
             budgets: state
                 .cold
                 .budgets(configuration, &state.leased_sets, service),
@@ -208,7 +208,7 @@
         now: Timestamp,
     ) -> Option<ColdEngine> {
         let evacuations = &state.in_force.evacuations;
-        let until = directory.cold_until(back_end, evacuations, self.lasts)?;
+        let until = directory.cold_until(back_end, evacuations, self.cold_duration)?;
         let left = until.saturating_duration_since(BootInstant::now());
         let region = state.topology.region_of(&back_end.zone);
         let budget = self
@@ -227,8 +227,8 @@
 pub(super) fn live_demand<'a>(
     excluded: &'a BTreeSet<EngineId>,
     regions: &'a AllowedRegions,
-) -> Demand<'a> {
-    Demand {
+) -> EngineRequirements<'a> {
+    EngineRequirements {
         class: WorkClass::Live,
         excluded,
         regions,
--- a/crates/sloetrail-serving/src/settings.rs
+++ b/crates/sloetrail-serving/src/settings.rs
@@ -155,12 +155,12 @@
         leased: &LeasedSets,
         service: &ServiceName,
     ) -> Option<ColdBudgets> {
-        let bears = configuration.cold_bounds(service).per_second?;
+        let sustained_per_second = configuration.cold_bounds(service).per_second?;
         let mut owners = configuration.batch_regions(service);
         owners.extend(leased.regions_of(service).cloned());
         Some(ColdBudgets {
-            bears,
-            most: bears * self.excess + self.slack,
+            sustained_per_second,
+            max_per_second: sustained_per_second * self.excess + self.slack,
             owners,
             has_live_requests: configuration.has_live_requests(service),
         })
