--- a/crates/sloetrail-balance/src/balancer.rs
+++ b/crates/sloetrail-balance/src/balancer.rs
@@ -1,7 +1,7 @@
-//! The choice among a service's engines.
+//! Picks an engine of a service for each request.
 
 use crate::SendBound;
-use crate::entry::{AttemptOutcome, EngineReport, Entry, WorkClass};
+use crate::entry::{AttemptOutcome, EngineEntry, EngineReport, WorkClass};
 use rand::Rng;
 use sloetrail_types::{
     AllowedRegions, Distance, EngineId, Timestamp, Topology, WeightVersion, ZoneName,
@@ -10,23 +10,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// An engine as the machine list has it.
+/// An engine of the machine list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedEngine {
-    /// The engine.
     pub id: EngineId,
-    /// Its zone.
     pub zone: ZoneName,
-    /// True if the list marks it as leaving.
     pub leaving: bool,
-    /// True if nothing is to be sent to its zone for now.
+    /// True if the engine's zone is being evacuated.
     pub evacuated: bool,
-    /// Present if it is cold.
+    /// None if the engine is warm.
     pub cold: Option<ColdEngine>,
 }
 
 impl ListedEngine {
-    /// An engine that takes work and is warm.
+    /// Returns a warm engine that takes work.
     pub fn ready(id: EngineId, zone: ZoneName) -> Self {
         Self {
             id,
@@ -38,48 +35,44 @@
     }
 }
 
-/// How an engine that is cold is to be spared.
+/// How long an engine counts as cold, and the limit on sends to it until then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ColdEngine {
-    /// Until when it is cold.
     pub until: Timestamp,
-    /// What this node may send it meanwhile; nothing means as much as to a warm one.
+    /// Limit on this node's sends. None if the engine may get as many as a warm one.
     pub bound: Option<SendBound>,
 }
 
-/// What a request demands of the engine that is chosen for it.
+/// Conditions that an engine must meet to serve a request.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineRequirements<'a> {
-    /// Who waits for it.
     pub class: WorkClass,
-    /// Engines that are not to be chosen.
+    /// Engines that must not be picked.
     pub excluded: &'a BTreeSet<EngineId>,
-    /// The regions in which it may be served.
+    /// Regions that may serve the request.
     pub regions: &'a AllowedRegions,
 }
 
-/// Whose balancer it is, and its bounds.
 #[derive(Clone, Debug)]
 pub struct BalancerSettings {
-    /// The node's name. Engines are preferred in an order that each node has of its own.
+    /// Name of this node; it determines which engine the node prefers.
     pub node: String,
-    /// The node's own zone, whose engines are preferred, and the regions of all zones.
+    /// Zone of this node and the regions of all zones.
     pub topology: Topology,
-    /// How long an engine may be chosen without news of it.
+    /// Age of the last confirmation from which an engine is no longer picked.
     pub view_freshness: Duration,
-    /// Upper bound of this node's requests on one engine.
+    /// Maximum number of this node's concurrent requests at one engine.
     pub engine_concurrency: usize,
 }
 
-/// One service's engines, as one node sees them.
+/// Engines of one service as seen by this node.
 #[derive(Debug)]
 pub struct Balancer {
     settings: BalancerSettings,
-    engines: BTreeMap<EngineId, Entry>,
+    engines: BTreeMap<EngineId, EngineEntry>,
 }
 
 impl Balancer {
-    /// A balancer that knows no engine yet.
     pub fn new(settings: BalancerSettings) -> Self {
         Self {
             settings,
@@ -87,18 +80,16 @@
         }
     }
 
-    /// Changes the bound on one engine's requests.
-    pub fn set_engine_concurrency(&mut self, maximum: usize) {
-        self.settings.engine_concurrency = maximum;
+    pub fn set_engine_concurrency(&mut self, max_requests: usize) {
+        self.settings.engine_concurrency = max_requests;
         for entry in self.engines.values_mut() {
-            entry.limit.set_maximum(maximum);
+            entry.limit.set_max_limit(max_requests);
         }
     }
 
-    /// Takes in the machine list: it adds engines, marks leavers and drops the rest, once
-    /// nothing runs there and what was sent there no longer counts. Once marked, an engine
-    /// stays a leaver whatever the list says later; one that was not listed for a while
-    /// takes work again.
+    /// Applies the machine list. An unlisted engine is dropped once it has no requests in
+    /// flight and its recent sends no longer count; if it is listed again before, it takes work
+    /// again. An engine that was marked as leaving stays so.
     pub fn set_engines(&mut self, now: Timestamp, listed: Vec<ListedEngine>) {
         let ids: BTreeSet<EngineId> = listed.iter().map(|engine| engine.id.clone()).collect();
         self.engines.retain(|id, entry| {
@@ -109,7 +100,7 @@
             let concurrency = self.settings.engine_concurrency;
             let preference = rendezvous_weight(&self.settings.node, engine.id.as_str());
             let entry = self.engines.entry(engine.id).or_insert_with(|| {
-                Entry::new(engine.zone, engine.leaving, concurrency, preference)
+                EngineEntry::new(engine.zone, engine.leaving, concurrency, preference)
             });
             entry.leaving |= engine.leaving;
             entry.evacuated = engine.evacuated;
@@ -117,15 +108,14 @@
         }
     }
 
-    /// Takes in news of an engine; unknown engines are left out.
+    /// Applies a report. Reports on unknown engines are ignored.
     pub fn report(&mut self, id: &EngineId, report: EngineReport) {
         if let Some(entry) = self.engines.get_mut(id) {
-            entry.take_report(report);
+            entry.apply_report(report);
         }
     }
 
-    /// Notes that an engine was heard from by a piece of a running answer, which
-    /// the weights of this version produced.
+    /// Records that an engine sent a part of an answer, generated with weights of this version.
     pub fn confirm(&mut self, id: &EngineId, now: Timestamp, version: WeightVersion) {
         let Some(entry) = self.engines.get_mut(id) else {
             return;
@@ -136,22 +126,22 @@
         }
     }
 
-    /// True if there was no news of an engine within `age`.
+    /// True if the engine was not confirmed to be reachable within `age`.
     pub fn is_unconfirmed(&self, id: &EngineId, now: Timestamp, age: Duration) -> bool {
         let confirmed_at = self.engines.get(id).and_then(|entry| entry.confirmed_at);
         confirmed_at.is_none_or(|at| now.since(at) >= age)
     }
 
-    /// Chooses an engine and counts a request on it, or finds none with room.
-    /// The request must be ended with [`Balancer::finish`].
+    /// Picks an engine and counts a request on it. The caller must end the request with
+    /// [`Balancer::finish`]. Returns None if no eligible engine has room.
     pub fn choose(
         &mut self,
         now: Timestamp,
         random: &mut impl Rng,
-        demand: EngineRequirements<'_>,
+        requirements: EngineRequirements<'_>,
     ) -> Option<EngineId> {
-        let candidates = self.nearest_candidates(now, demand);
-        let id = self.preferred_or_emptier(&candidates, random)?;
+        let candidates = self.nearest_candidates(now, requirements);
+        let id = self.preferred_or_less_loaded(&candidates, random)?;
         if let Some(entry) = self.engines.get_mut(&id) {
             entry.in_flight += 1;
             entry.sends.record(now);
@@ -159,20 +149,20 @@
         Some(id)
     }
 
-    /// Ends a request on an engine.
+    /// Ends a request that [`Balancer::choose`] has counted.
     pub fn finish(&mut self, now: Timestamp, id: &EngineId, outcome: AttemptOutcome) {
         if let Some(entry) = self.engines.get_mut(id) {
             entry.finish(now, outcome);
         }
     }
 
-    /// The weights that an engine uses, as last reported; zero if unknown.
+    /// Last reported weight version of an engine; zero if unknown.
     pub fn version_of(&self, id: &EngineId) -> WeightVersion {
         let report = self.engines.get(id).and_then(|entry| entry.report);
         report.map_or(WeightVersion(0), |report| report.version)
     }
 
-    /// Engines that may be chosen now, whether or not they have room.
+    /// Number of engines that may be picked, with or without room.
     pub fn available_engines(&self, now: Timestamp) -> usize {
         let freshness = self.settings.view_freshness;
         self.engines
@@ -181,8 +171,8 @@
             .count()
     }
 
-    /// True if an engine of the allowed regions takes work of this node, whether or not it
-    /// has room now. Without one, waiting does not help a request.
+    /// True if an engine of the allowed regions takes work of this node, with or without room.
+    /// If false, a request need not wait for a slot.
     pub fn may_serve(&self, now: Timestamp, regions: &AllowedRegions) -> bool {
         let topology = &self.settings.topology;
         self.engines
@@ -190,58 +180,61 @@
             .any(|entry| entry.may_serve(now) && topology.allows(regions, &entry.zone))
     }
 
-    /// True if an engine could be chosen for this demand now.
-    pub fn has_free_slot(&self, now: Timestamp, demand: EngineRequirements<'_>) -> bool {
-        self.able(now, demand).next().is_some()
+    /// True if an eligible engine has room.
+    pub fn has_free_slot(&self, now: Timestamp, requirements: EngineRequirements<'_>) -> bool {
+        self.eligible(now, requirements).next().is_some()
     }
 
-    /// How many requests of a class this node may have at a time at the engines of the
-    /// allowed regions that may be chosen now.
+    /// Number of requests of a class that this node may have in flight at the engines of the
+    /// allowed regions.
     pub fn slots(&self, now: Timestamp, regions: &AllowedRegions, class: WorkClass) -> usize {
         let freshness = self.settings.view_freshness;
         let topology = &self.settings.topology;
-        let able = self.engines.values().filter(|entry| {
+        let eligible = self.engines.values().filter(|entry| {
             entry.may_be_chosen(now, freshness)
-                && !entry.is_spared(now)
+                && !entry.is_throttled(now)
                 && topology.allows(regions, &entry.zone)
         });
-        able.map(|entry| entry.slots(class)).sum()
+        eligible.map(|entry| entry.slots(class)).sum()
     }
 
-    /// Requests in flight from this node.
+    /// Number of this node's requests in flight.
     pub fn in_flight(&self) -> usize {
         self.engines.values().map(|entry| entry.in_flight).sum()
     }
 
-    /// The engines that may be chosen and have room.
-    fn able<'a>(
+    /// Engines that meet the requirements and have room.
+    fn eligible<'a>(
         &'a self,
         now: Timestamp,
-        demand: EngineRequirements<'a>,
-    ) -> impl Iterator<Item = (&'a EngineId, &'a Entry)> {
+        requirements: EngineRequirements<'a>,
+    ) -> impl Iterator<Item = (&'a EngineId, &'a EngineEntry)> {
         let freshness = self.settings.view_freshness;
         let topology = &self.settings.topology;
         self.engines.iter().filter(move |(id, entry)| {
             entry.may_be_chosen(now, freshness)
-                && entry.has_room(now, demand.class)
-                && !demand.excluded.contains(*id)
-                && topology.allows(demand.regions, &entry.zone)
+                && entry.has_room(now, requirements.class)
+                && !requirements.excluded.contains(*id)
+                && topology.allows(requirements.regions, &entry.zone)
         })
     }
 
-    /// The engines that may be chosen and have room: warm ones before cold ones, and of
-    /// these the nearest.
-    fn nearest_candidates(&self, now: Timestamp, demand: EngineRequirements<'_>) -> Vec<EngineId> {
+    /// The nearest of the eligible warm engines, or of the cold ones if none is warm.
+    fn nearest_candidates(
+        &self,
+        now: Timestamp,
+        requirements: EngineRequirements<'_>,
+    ) -> Vec<EngineId> {
         let topology = &self.settings.topology;
-        let mut nearest: Option<(bool, Distance)> = None;
+        let mut best_rank: Option<(bool, Distance)> = None;
         let mut candidates = Vec::new();
-        for (id, entry) in self.able(now, demand) {
+        for (id, entry) in self.eligible(now, requirements) {
             let rank = (entry.is_cold(now), topology.distance(&entry.zone));
-            if nearest.is_some_and(|nearest| rank > nearest) {
+            if best_rank.is_some_and(|best| rank > best) {
                 continue;
             }
-            if nearest.is_none_or(|nearest| rank < nearest) {
-                nearest = Some(rank);
+            if best_rank.is_none_or(|best| rank < best) {
+                best_rank = Some(rank);
                 candidates.clear();
             }
             candidates.push(id.clone());
@@ -249,10 +242,10 @@
         candidates
     }
 
-    /// The node's preferred engine if it has nothing to do there, otherwise the emptier of
-    /// two drawn at random. A node with little to do so keeps to one engine and its
-    /// connection there; a node with much to do loads no engine more than another.
-    fn preferred_or_emptier(
+    /// Returns the node's preferred engine if it is idle, otherwise the less loaded of two
+    /// random candidates. A node with few requests thus reuses one connection, while a busy
+    /// node spreads its requests evenly.
+    fn preferred_or_less_loaded(
         &self,
         candidates: &[EngineId],
         random: &mut impl Rng,
--- a/crates/sloetrail-balance/src/cold_share.rs
+++ b/crates/sloetrail-balance/src/cold_share.rs
@@ -1,25 +1,25 @@
-//! How much of what a cold back end bears each sender may use.
+//! Splits the load limit of a cold back end among its senders.
 //!
-//! All senders together keep the bound by counting alone: no sender asks another one.
+//! Each sender computes its part locally. The senders do not communicate.
 
 use crate::SendBound;
 use sloetrail_types::rendezvous_weight;
 
-/// What a cold back end of a service may get in any second, and how many ways lead to it.
+/// Load limits of a cold back end, and the number of senders that share them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdBudget {
-    /// Requests a second that it bears.
+    /// Requests per second that the back end sustains.
     pub sustained_per_second: f64,
-    /// The most that may reach it in any second.
+    /// Upper bound of requests in any second.
     pub max_per_second: f64,
-    /// Kinds of senders that share it: live requests, and each owner of batches.
+    /// Senders that share the budget: live requests count as one, each owner of batches as one.
     pub senders: usize,
 }
 
 impl ColdBudget {
-    /// What one way may send to a cold back end: what it bears, and no more than half of
-    /// the most, since two owners may send around a takeover and two nodes may count
-    /// different senders.
+    /// Rate of one sender in requests per second. It is at most half of the sender's part of
+    /// `max_per_second`, since two owners may send during a takeover and two nodes may disagree
+    /// on the set of senders.
     fn cold_rate(&self) -> f64 {
         self.sustained_per_second.min(self.max_per_second / 2.0) / self.senders.max(1) as f64
     }
@@ -29,19 +29,20 @@
         SendBound::per_second(self.cold_rate())
     }
 
-    /// What an owner may send to an engine that does not count as cold but may have turned
-    /// so unnoticed: the rest of the most, beside a second owner that sends as to a cold one.
+    /// What an owner may send to an engine that is believed to be warm but may have become cold
+    /// since. Leaves room for a second owner that sends within [`ColdBudget::owner_bound`].
     pub fn possibly_cold_bound(&self) -> SendBound {
         let cold = self.owner_bound();
-        let most = (self.max_per_second / self.senders.max(1) as f64).floor() as usize;
+        let max_sends = (self.max_per_second / self.senders.max(1) as f64).floor() as usize;
         SendBound {
-            most: most.saturating_sub(cold.most).max(cold.most),
-            span: cold.span,
+            max_sends: max_sends.saturating_sub(cold.max_sends).max(cold.max_sends),
+            window: cold.window,
         }
     }
 
-    /// What one node's live requests may send to a cold back end. Whole requests a second
-    /// are dealt to the nodes that rendezvous hashing draws for the back end.
+    /// What the live requests of node `own` may send to a cold back end. The rate is shared
+    /// evenly by the nodes with the highest rendezvous weights for the back end, so that each
+    /// of them may send at least one request per second if the rate allows it.
     pub fn live_bound<'a>(
         &self,
         back_end: &str,
@@ -49,19 +50,18 @@
         senders: impl Iterator<Item = &'a str>,
     ) -> SendBound {
         let rate = self.cold_rate();
-        let drawn = rate.floor().max(1.0) as usize;
+        let max_nodes = rate.floor().max(1.0) as usize;
         let own_weight = rendezvous_weight(own, back_end);
         let mut others = 0;
-        // Those of the others that are drawn sooner than this node.
-        let mut before = 0;
+        let mut ranked_higher = 0;
         for sender in senders.filter(|sender| *sender != own) {
             others += 1;
-            before += usize::from(rendezvous_weight(sender, back_end) > own_weight);
+            ranked_higher += usize::from(rendezvous_weight(sender, back_end) > own_weight);
         }
-        if before >= drawn {
+        if ranked_higher >= max_nodes {
             return SendBound::NONE;
         }
-        let sharing = drawn.min(others + 1);
+        let sharing = max_nodes.min(others + 1);
         SendBound::per_second(rate / sharing as f64)
     }
 }
--- a/crates/sloetrail-balance/src/concurrency_limit.rs
+++ b/crates/sloetrail-balance/src/concurrency_limit.rs
@@ -1,46 +1,48 @@
-//! A limit that grows while an engine keeps up and shrinks when it does not.
+//! Adaptive limit of concurrent requests at one engine.
 
 const DECREASE_FACTOR: f64 = 0.7;
-const LIMIT_MINIMUM: f64 = 1.0;
+const MIN_LIMIT: f64 = 1.0;
 
-/// Additive increase, multiplicative decrease between one and a configured bound.
+/// Limit with additive increase and multiplicative decrease.
+///
+/// Invariant: the limit lies between one and the configured maximum.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     limit: f64,
-    maximum: f64,
+    max_limit: f64,
 }
 
 impl ConcurrencyLimit {
-    /// A limit that starts at its maximum: a new engine is assumed to be able.
-    pub fn new(maximum: usize) -> Self {
-        let maximum = (maximum as f64).max(LIMIT_MINIMUM);
+    /// Starts at the maximum, so that a new engine gets its full share at once.
+    pub fn new(max_limit: usize) -> Self {
+        let max_limit = (max_limit as f64).max(MIN_LIMIT);
         Self {
-            limit: maximum,
-            maximum,
+            limit: max_limit,
+            max_limit,
         }
     }
 
-    /// Changes the upper bound.
-    pub fn set_maximum(&mut self, maximum: usize) {
-        self.maximum = (maximum as f64).max(LIMIT_MINIMUM);
-        self.limit = self.limit.min(self.maximum);
+    pub fn set_max_limit(&mut self, max_limit: usize) {
+        self.max_limit = (max_limit as f64).max(MIN_LIMIT);
+        self.limit = self.limit.min(self.max_limit);
     }
 
-    /// How many requests may be in flight.
+    /// Number of requests that may be in flight.
     pub fn current(&self) -> usize {
         self.limit as usize
     }
 
-    /// A request went well while `in_flight` were out.
+    /// Raises the limit after a successful request if `in_flight` had reached it. An unused
+    /// limit is no evidence that the engine can take more.
     pub fn on_success(&mut self, in_flight: usize) {
         let limit_was_used = in_flight as f64 + 1.0 >= self.limit;
         if limit_was_used {
-            self.limit = (self.limit + 1.0 / self.limit).min(self.maximum);
+            self.limit = (self.limit + 1.0 / self.limit).min(self.max_limit);
         }
     }
 
-    /// The engine refused, queued or failed.
+    /// Lowers the limit after the engine refused a request, queued requests or was lost.
     pub fn on_overload(&mut self) {
-        self.limit = (self.limit * DECREASE_FACTOR).max(LIMIT_MINIMUM);
+        self.limit = (self.limit * DECREASE_FACTOR).max(MIN_LIMIT);
     }
 }
--- a/crates/sloetrail-balance/src/entry.rs
+++ b/crates/sloetrail-balance/src/entry.rs
@@ -1,89 +1,85 @@
-//! What a node knows of one engine.
+//! State that a node keeps for one engine.
 
 use crate::{ColdEngine, ConcurrencyLimit, SendBound, SendWindow};
 use sloetrail_types::{Timestamp, WeightVersion, ZoneName};
 use std::time::Duration;
 
-/// Whether an engine takes new work, as an observer found it.
+/// Whether an engine accepts new work, as reported by an observer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedState {
-    /// It does.
     Serving,
-    /// It finishes what it has.
+    /// It finishes its running requests and accepts no new ones.
     Draining,
-    /// It does not answer.
     Unreachable,
 }
 
-/// News of an engine.
+/// An observer's report on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineReport {
-    /// When the observer asked the engine.
+    /// When the observer queried the engine.
     pub observed_at: Timestamp,
-    /// Whether it takes new work.
     pub state: ReportedState,
-    /// Requests running and waiting on the engine.
+    /// Requests running and queued on the engine.
     pub load: u32,
-    /// Requests that it can run at a time.
+    /// Requests that the engine can run concurrently.
     pub capacity: u32,
-    /// The weights that it uses; zero for applications.
+    /// Version of the loaded weights; zero for applications.
     pub version: WeightVersion,
 }
 
-/// Who waits for a request.
+/// What a request is made for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkClass {
-    /// A caller.
+    /// A caller waits for the answer.
     Live,
-    /// A trainer: a quarter of an engine's places stays free for callers.
+    /// A trainer's sample, which may use three quarters of an engine's slots.
     Sample,
 }
 
 /// How an attempt at an engine ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It answered.
     Answered,
-    /// It refused before running the request: it is full or draining.
+    /// The engine was full or draining and did not run the request.
     Refused,
-    /// It could not be reached, or fell silent.
+    /// The engine could not be reached or stopped responding.
     Lost,
-    /// It answered, but not with a whole answer.
+    /// The answer was incomplete or invalid.
     Failed,
-    /// The caller went away, or nothing was sent; it says nothing of the engine.
+    /// The caller left or nothing was sent, so the attempt has no bearing on the engine.
     Abandoned,
 }
 
-/// One place in this many is not given to samples.
-const SHARE_KEPT_FOR_LIVE: usize = 4;
+/// One slot in this many is reserved for live requests.
+const LIVE_RESERVE_DIVISOR: usize = 4;
 
-/// Broken answers in a row after which an engine counts as lost.
 const FAILURES_UNTIL_LOST: u32 = 3;
 
 #[derive(Clone, Debug)]
-pub(crate) struct Entry {
+pub(crate) struct EngineEntry {
     pub(crate) zone: ZoneName,
-    /// False while the list does not have it: what runs there goes on.
+    /// An unlisted engine gets no new requests; its running ones continue.
     pub(crate) listed: bool,
     pub(crate) leaving: bool,
-    /// True if nothing is to be sent to its zone for now.
+    /// True if the engine's zone is being evacuated.
     pub(crate) evacuated: bool,
     pub(crate) cold: Option<ColdEngine>,
-    /// What this node sent it last.
+    /// Recent requests of this node to the engine.
     pub(crate) sends: SendWindow,
     pub(crate) report: Option<EngineReport>,
+    /// Last time the engine was known to be reachable.
     pub(crate) confirmed_at: Option<Timestamp>,
     pub(crate) lost_at: Option<Timestamp>,
     pub(crate) refused_at: Option<Timestamp>,
-    pub(crate) failures_in_a_row: u32,
+    pub(crate) consecutive_failures: u32,
     pub(crate) in_flight: usize,
     pub(crate) in_flight_at_report: usize,
     pub(crate) limit: ConcurrencyLimit,
-    /// Of engines with the same load the one with the highest is chosen.
+    /// Rendezvous weight of the node and the engine; the highest is preferred.
     pub(crate) preference: u64,
 }
 
-impl Entry {
+impl EngineEntry {
     pub(crate) fn new(zone: ZoneName, leaving: bool, concurrency: usize, preference: u64) -> Self {
         Self {
             zone,
@@ -96,7 +92,7 @@
             confirmed_at: None,
             lost_at: None,
             refused_at: None,
-            failures_in_a_row: 0,
+            consecutive_failures: 0,
             in_flight: 0,
             in_flight_at_report: 0,
             limit: ConcurrencyLimit::new(concurrency),
@@ -104,68 +100,67 @@
         }
     }
 
-    /// May it get a new request now? Only with fresh news, and not if it was
-    /// lost or refused after that news.
+    /// True if the engine may get a new request: it serves, its last confirmation is fresh, and
+    /// it was neither lost nor refused a request since.
     pub(crate) fn may_be_chosen(&self, now: Timestamp, freshness: Duration) -> bool {
         let Some(confirmed_at) = self.confirmed_at else {
             return false;
         };
         let fresh = now.since(confirmed_at) < freshness;
-        let newer_than = |event: Option<Timestamp>| event.is_none_or(|at| at < confirmed_at);
+        let confirmed_since = |event: Option<Timestamp>| event.is_none_or(|at| at < confirmed_at);
         let serving = self
             .report
             .is_some_and(|report| report.state == ReportedState::Serving);
         fresh
             && serving
             && self.takes_work()
-            && newer_than(self.lost_at)
-            && newer_than(self.refused_at)
+            && confirmed_since(self.lost_at)
+            && confirmed_since(self.refused_at)
     }
 
-    /// True unless it is not listed or leaves, or its zone is evacuated.
+    /// True if the engine is listed, not leaving and not in an evacuated zone.
     pub(crate) fn takes_work(&self) -> bool {
         self.listed && !self.leaving && !self.evacuated
     }
 
-    /// True if this node may send it something now or soon: not if it is cold and other
-    /// nodes send it all that it bears.
+    /// True if this node may send to the engine now or soon. False for a cold engine whose
+    /// whole budget belongs to other nodes.
     pub(crate) fn may_serve(&self, now: Timestamp) -> bool {
-        let bound = self.bound(now);
-        self.takes_work() && bound.is_none_or(|bound| bound.most > 0)
+        let bound = self.send_bound(now);
+        self.takes_work() && bound.is_none_or(|bound| bound.max_sends > 0)
     }
 
-    /// What this node may send it now; nothing if that is not bounded.
-    fn bound(&self, now: Timestamp) -> Option<SendBound> {
+    /// Current bound on this node's sends to the engine. None if unbounded.
+    fn send_bound(&self, now: Timestamp) -> Option<SendBound> {
         let cold = self.cold.filter(|_| self.is_cold(now))?;
         cold.bound
     }
 
-    /// True if it is cold now.
     pub(crate) fn is_cold(&self, now: Timestamp) -> bool {
         self.cold.is_some_and(|cold| now < cold.until)
     }
 
     pub(crate) fn has_room(&self, now: Timestamp, class: WorkClass) -> bool {
-        self.in_flight < self.slots(class) && !self.is_spared(now)
+        self.in_flight < self.slots(class) && !self.is_throttled(now)
     }
 
-    /// How many requests of a class this node may have there at a time.
+    /// Number of requests of a class that this node may have in flight at the engine.
     pub(crate) fn slots(&self, class: WorkClass) -> usize {
         let limit = self.limit.current();
         match class {
             WorkClass::Live => limit,
-            WorkClass::Sample => (limit - limit / SHARE_KEPT_FOR_LIVE).max(1),
+            WorkClass::Sample => (limit - limit / LIVE_RESERVE_DIVISOR).max(1),
         }
     }
 
-    /// True if it is cold and this node has sent it all that it may for now.
-    pub(crate) fn is_spared(&self, now: Timestamp) -> bool {
-        let bound = self.bound(now);
+    /// True if the engine is cold and this node has exhausted its send bound.
+    pub(crate) fn is_throttled(&self, now: Timestamp) -> bool {
+        let bound = self.send_bound(now);
         bound.is_some_and(|bound| !self.sends.has_room(now, bound))
     }
 
-    /// Load in parts of capacity: what others had there at the report, and what
-    /// this node has there now.
+    /// Load as a fraction of capacity: the load of other senders at the last report plus this
+    /// node's requests in flight.
     pub(crate) fn relative_load(&self) -> f64 {
         let (reported, capacity) = self
             .report
@@ -174,11 +169,12 @@
         (others + self.in_flight) as f64 / f64::from(capacity.max(1))
     }
 
-    pub(crate) fn take_report(&mut self, report: EngineReport) {
-        let newer = self
+    /// Applies a report unless it is older than the last one.
+    pub(crate) fn apply_report(&mut self, report: EngineReport) {
+        let is_current = self
             .report
             .is_none_or(|known| known.observed_at <= report.observed_at);
-        if !newer {
+        if !is_current {
             return;
         }
         if report.load > report.capacity {
@@ -194,7 +190,7 @@
     pub(crate) fn finish(&mut self, now: Timestamp, outcome: AttemptOutcome) {
         match outcome {
             AttemptOutcome::Answered => {
-                self.failures_in_a_row = 0;
+                self.consecutive_failures = 0;
                 self.limit.on_success(self.in_flight);
                 self.confirmed_at = self.confirmed_at.max(Some(now));
             }
@@ -204,10 +200,10 @@
             }
             AttemptOutcome::Abandoned => {}
             AttemptOutcome::Failed => {
-                self.failures_in_a_row += 1;
-                if self.failures_in_a_row >= FAILURES_UNTIL_LOST {
+                self.consecutive_failures += 1;
+                if self.consecutive_failures >= FAILURES_UNTIL_LOST {
                     self.lost_at = Some(now);
-                    self.failures_in_a_row = 0;
+                    self.consecutive_failures = 0;
                 }
             }
             AttemptOutcome::Lost => {
--- a/crates/sloetrail-balance/src/latency_quantile.rs
+++ b/crates/sloetrail-balance/src/latency_quantile.rs
@@ -1,44 +1,43 @@
-//! How long the slower of a service's answers take.
+//! Running estimate of a service's 90th percentile latency.
 
 use std::time::Duration;
 
-/// The part of the answers that takes no longer.
 const QUANTILE: f64 = 0.9;
-/// How much a single answer moves the estimate. A service that turns slow is known to be
-/// after about ten answers, one that is fast again after about a hundred.
+/// Relative change of the estimate per answer.
 const STEP: f64 = 0.1;
-/// Below this the estimate does not fall.
-const LEAST: Duration = Duration::from_millis(1);
+const MIN_ESTIMATE: Duration = Duration::from_millis(1);
 
-/// An estimate of the time within which nine of ten answers come. It follows the answers:
-/// each one that took longer raises it, each other one lowers it by a ninth as much.
+/// Estimate of the 90th percentile latency.
+///
+/// A slower answer raises the estimate and a faster one lowers it by a ninth as much, so that
+/// the estimate settles where one answer in ten is slower.
 #[derive(Clone, Copy, Debug)]
 pub struct LatencyQuantile {
-    time: Duration,
+    estimate: Duration,
 }
 
 impl Default for LatencyQuantile {
     fn default() -> Self {
-        Self { time: LEAST }
+        Self {
+            estimate: MIN_ESTIMATE,
+        }
     }
 }
 
 impl LatencyQuantile {
-    /// Takes in how long an answer took.
-    pub fn record(&mut self, took: Duration) {
-        let factor = match took > self.time {
+    pub fn record(&mut self, latency: Duration) {
+        let factor = match latency > self.estimate {
             true => 1.0 + STEP * QUANTILE,
             false => 1.0 - STEP * (1.0 - QUANTILE),
         };
-        self.time = match self.time == LEAST {
-            // A first answer is better than no knowledge.
-            true => took.max(LEAST),
-            false => self.time.mul_f64(factor).max(LEAST),
+        self.estimate = match self.estimate == MIN_ESTIMATE {
+            // The first answer sets the estimate.
+            true => latency.max(MIN_ESTIMATE),
+            false => self.estimate.mul_f64(factor).max(MIN_ESTIMATE),
         };
     }
 
-    /// Nine of ten answers come within this time.
     pub fn estimate(&self) -> Duration {
-        self.time
+        self.estimate
     }
 }
--- a/crates/sloetrail-balance/src/lib.rs
+++ b/crates/sloetrail-balance/src/lib.rs
@@ -1,13 +1,14 @@
-//! Which engine gets the next request, how many it gets, and who may retry.
+//! Load balancing, concurrency limits, retry budgets and fair queueing for one service.
 //!
-//! [`Balancer`] holds one service's engines as one node sees them. It chooses by
-//! the power of two choices on load, corrected by the node's own sends since the
-//! last report, and only among engines of which there is fresh news.
-//! Engines of the own zone go first, then those of the own region; cold ones come last and
-//! get no more than a [`SendBound`], dealt out by a [`ColdBudget`].
-//! [`ConcurrencyLimit`] bounds what one node sends one engine, [`RetryBudget`]
-//! what a service's retries may add to its load. While places are short a [`SlotQueue`]
-//! says who gets the next one, and [`TenantShares`] which tenant's turn it is.
+//! [`Balancer`] holds the engines of one service as one node sees them. It picks by power of
+//! two choices on load, where load is the last report corrected by the requests that this node
+//! has sent since. Only engines with a recent report are eligible. Engines of the local zone
+//! are preferred, then those of the local region. Cold engines come last and receive no more
+//! than a [`SendBound`] that is derived from a [`ColdBudget`].
+//!
+//! [`ConcurrencyLimit`] bounds the requests of one node at one engine, [`RetryBudget`] the load
+//! that retries add. When slots are scarce, a [`SlotQueue`] orders the waiting requests and
+//! [`TenantShares`] orders the tenants.
 
 mod balancer;
 mod cold_share;
--- a/crates/sloetrail-balance/src/retry_budget.rs
+++ b/crates/sloetrail-balance/src/retry_budget.rs
@@ -1,8 +1,10 @@
-//! A budget that keeps retries to a share of first attempts.
+//! Limits retries to a percentage of first attempts.
 
-const RESERVE: f64 = 5.0;
+/// Retries that a service may make before first attempts have earned any.
+const RESERVE_RETRIES: f64 = 5.0;
 
-/// Each first attempt earns a part of a retry; each retry costs a whole one.
+/// Token bucket for retries: a first attempt deposits `percent / 100` of a retry and a retry
+/// withdraws one.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     percent: u32,
@@ -10,14 +12,13 @@
 }
 
 impl RetryBudget {
-    /// A budget of `percent` retries for a hundred first attempts, with a small
-    /// reserve so that a quiet service can retry at all.
+    /// Allows `percent` retries per hundred first attempts, plus a small reserve so that a
+    /// service with little traffic can retry. Zero percent allows no retries.
     pub fn new(percent: u32) -> Self {
-        let balance = if percent == 0 { 0.0 } else { RESERVE };
+        let balance = if percent == 0 { 0.0 } else { RESERVE_RETRIES };
         Self { percent, balance }
     }
 
-    /// Changes the share.
     pub fn set_percent(&mut self, percent: u32) {
         self.percent = percent;
         if percent == 0 {
@@ -25,14 +26,14 @@
         }
     }
 
-    /// A first attempt was made.
+    /// Credits a first attempt.
     pub fn deposit(&mut self) {
         let earned = f64::from(self.percent) / 100.0;
-        let ceiling = RESERVE + f64::from(self.percent);
+        let ceiling = RESERVE_RETRIES + f64::from(self.percent);
         self.balance = (self.balance + earned).min(ceiling);
     }
 
-    /// Takes one retry out of the budget; false if none is left.
+    /// Takes one retry from the budget. Returns false if the budget is exhausted.
     pub fn withdraw(&mut self) -> bool {
         if self.balance < 1.0 {
             return false;
--- a/crates/sloetrail-balance/src/send_window.rs
+++ b/crates/sloetrail-balance/src/send_window.rs
@@ -1,79 +1,74 @@
-//! A bound on what one sender gives a back end in any span of time.
+//! Sliding-window limit on the requests that one sender sends to a back end.
 
 use sloetrail_types::Timestamp;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Sends that lie further apart than the span by less than this may arrive within it: the
-/// later one over a kept connection, the earlier one over a new one.
+/// Added to the window because requests may arrive closer together than they were sent, for
+/// example the first over a new connection and the second over an open one.
 const ARRIVAL_MARGIN: Duration = Duration::from_millis(100);
-/// Sends that are remembered. More than this in a second need no bound: no back end that
-/// has to be spared bears them.
-const SENDS_KEPT: usize = 256;
-/// The span that bounds are about, but those of less than one send a second.
+/// Also the upper limit of any bound.
+const MAX_RECORDED_SENDS: usize = 256;
 const SECOND: Duration = Duration::from_secs(1);
-/// How long the sends to a back end that is no longer listed are remembered: it may be
-/// listed again within the second that bounds are about.
-const KEPT_FOR: Duration = SECOND.saturating_add(ARRIVAL_MARGIN);
+/// How long the sends to an unlisted back end still count, in case it is listed again.
+const RETENTION: Duration = SECOND.saturating_add(ARRIVAL_MARGIN);
 
-/// So many sends in any span of this length.
+/// At most `max_sends` sends in any span of length `window`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendBound {
-    /// The most sends.
-    pub most: usize,
-    /// The length of the span.
-    pub span: Duration,
+    pub max_sends: usize,
+    pub window: Duration,
 }
 
 impl SendBound {
-    /// No sends at all.
+    /// Allows no sends.
     pub const NONE: Self = Self {
-        most: 0,
-        span: SECOND,
+        max_sends: 0,
+        window: SECOND,
     };
 
-    /// As many sends in any second, or one in any longer span where that is less than one.
+    /// Allows `rate` sends per second, rounded down. A rate below one allows one send per
+    /// `1 / rate` seconds.
     pub fn per_second(rate: f64) -> Self {
         if !rate.is_finite() || rate <= 0.0 {
             return Self::NONE;
         }
         match rate >= 1.0 {
             true => Self {
-                most: rate.floor() as usize,
-                span: SECOND,
+                max_sends: rate.floor() as usize,
+                window: SECOND,
             },
             false => Self {
-                most: 1,
-                span: Duration::try_from_secs_f64(1.0 / rate).unwrap_or(Duration::MAX),
+                max_sends: 1,
+                window: Duration::try_from_secs_f64(1.0 / rate).unwrap_or(Duration::MAX),
             },
         }
     }
 }
 
-/// The last sends of one sender to one back end.
+/// The most recent sends of one sender to one back end.
 #[derive(Clone, Debug, Default)]
 pub struct SendWindow {
     sends: VecDeque<Timestamp>,
 }
 
 impl SendWindow {
-    /// True if one more send keeps the bound.
+    /// True if one more send stays within the bound.
     pub fn has_room(&self, now: Timestamp, bound: SendBound) -> bool {
-        let span = bound.span.saturating_add(ARRIVAL_MARGIN);
+        let window = bound.window.saturating_add(ARRIVAL_MARGIN);
         let sends = self.sends.iter().rev();
-        let within = sends.take_while(|at| now.since(**at) < span);
-        within.count() < bound.most.min(SENDS_KEPT)
+        let recent = sends.take_while(|at| now.since(**at) < window);
+        recent.count() < bound.max_sends.min(MAX_RECORDED_SENDS)
     }
 
-    /// True if it was sent something so lately that a bound in seconds may count it.
+    /// True if the last send is recent enough to count against a per-second bound.
     pub fn is_in_use(&self, now: Timestamp) -> bool {
         let last = self.sends.back();
-        last.is_some_and(|at| now.since(*at) < KEPT_FOR)
+        last.is_some_and(|at| now.since(*at) < RETENTION)
     }
 
-    /// Takes in a send.
     pub fn record(&mut self, now: Timestamp) {
-        if self.sends.len() >= SENDS_KEPT {
+        if self.sends.len() >= MAX_RECORDED_SENDS {
             self.sends.pop_front();
         }
         self.sends.push_back(now);
--- a/crates/sloetrail-balance/src/served_shares.rs
+++ b/crates/sloetrail-balance/src/served_shares.rs
@@ -1,61 +1,63 @@
-//! How large a share of its requests each kind of work has had served lately.
+//! Tracks the share of recent requests served at each urgency.
 //!
-//! The more urgent kind goes first, and where it alone takes all places the others would get
-//! none. A kind that is served much less than all are is told apart, so that it gets a place.
+//! Strict priority would starve less urgent requests while urgent ones take every slot. The
+//! slot queue uses these shares to serve an underserved urgency first.
 
 use sloetrail_types::Urgency;
 use std::collections::BTreeMap;
 
-/// A kind is short if its share lies below the share of all divided by this. Callers of a kind
-/// that can wait so still get a third of what all get, and those of the urgent kind the
-/// rest: with as many requests of two kinds, five times as much.
-const SHORT_DIVISOR: u64 = 3;
-/// Fewer requests of a kind say nothing of its share.
-const REQUESTS_LEAST: u64 = 8;
-/// Requests after which what was before counts half: some seconds of a busy node.
+/// An urgency is underserved if its served share is below the overall share divided by this.
+const UNDERSERVED_DIVISOR: u64 = 3;
+/// An urgency with fewer recent requests is never underserved.
+const MIN_REQUESTS: u64 = 8;
+/// After this many requests all counts are halved, so that older requests lose weight.
 const WINDOW_REQUESTS: u64 = 512;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
-    asked: u64,
+    requests: u64,
     served: u64,
 }
 
-/// Requests of late and how many were served, by kind.
+/// Counts of recent and of served requests by urgency.
+///
+/// Invariant: `total` is the sum over all urgencies.
 #[derive(Debug, Default)]
 pub(crate) struct ServedShares {
-    kinds: BTreeMap<Urgency, Tally>,
-    all: Tally,
+    by_urgency: BTreeMap<Urgency, Tally>,
+    total: Tally,
 }
 
 impl ServedShares {
-    /// A request has got a place, or has ended without one.
-    pub(crate) fn record(&mut self, kind: Urgency, is_served: bool) {
-        if self.all.asked >= WINDOW_REQUESTS {
+    /// Counts a request that got its first slot, or ended without one.
+    pub(crate) fn record(&mut self, urgency: Urgency, is_served: bool) {
+        if self.total.requests >= WINDOW_REQUESTS {
             self.halve();
         }
-        let tally = self.kinds.entry(kind).or_default();
-        for tally in [tally, &mut self.all] {
-            tally.asked += 1;
+        let tally = self.by_urgency.entry(urgency).or_default();
+        for tally in [tally, &mut self.total] {
+            tally.requests += 1;
             tally.served += u64::from(is_served);
         }
     }
 
-    /// True if a kind is served much less than all are.
-    pub(crate) fn is_short(&self, kind: Urgency) -> bool {
-        let own = self.kinds.get(&kind).copied().unwrap_or_default();
-        let is_below = own.served * self.all.asked * SHORT_DIVISOR < self.all.served * own.asked;
-        own.asked >= REQUESTS_LEAST && is_below
+    /// True if the served share of an urgency is far below the overall share.
+    pub(crate) fn is_underserved(&self, urgency: Urgency) -> bool {
+        let own = self.by_urgency.get(&urgency).copied().unwrap_or_default();
+        // Compares own.served / own.requests with a fraction of the overall share.
+        let is_below = own.served * self.total.requests * UNDERSERVED_DIVISOR
+            < self.total.served * own.requests;
+        own.requests >= MIN_REQUESTS && is_below
     }
 
     fn halve(&mut self) {
-        self.all = Tally::default();
-        for tally in self.kinds.values_mut() {
-            tally.asked /= 2;
+        self.total = Tally::default();
+        for tally in self.by_urgency.values_mut() {
+            tally.requests /= 2;
             tally.served /= 2;
-            self.all.asked += tally.asked;
-            self.all.served += tally.served;
+            self.total.requests += tally.requests;
+            self.total.served += tally.served;
         }
-        self.kinds.retain(|_, tally| tally.asked > 0);
+        self.by_urgency.retain(|_, tally| tally.requests > 0);
     }
 }
--- a/crates/sloetrail-balance/src/slot_queue.rs
+++ b/crates/sloetrail-balance/src/slot_queue.rs
@@ -1,10 +1,10 @@
-//! The order of those that wait for a place at the engines of one service.
+//! Orders the requests that wait for a slot at the engines of one service.
 //!
-//! The most urgent kind goes first, then the tenant with the least under way, then what has
-//! waited longest. Before all of them goes a kind that is served much less than the others: it
-//! may have to wait, but is not shut out. A place is offered to the first in this order that may use it. One that
-//! does not take its offer in time is passed over until it looks for a place itself: it may
-//! be held up by its caller, and must not hold up the others.
+//! Requests are ordered by urgency, then by their tenant's work in flight, then by age. An
+//! underserved urgency goes before all others, so that it is delayed but not starved. A free
+//! slot is offered to the first request in this order that may use it. A request that does not
+//! take its offer in time is skipped until it rejoins the queue, since its caller may have
+//! stalled and the slot should not stay unused.
 
 use crate::served_shares::ServedShares;
 use crate::{TenantOrder, TenantShares, WorkTenant};
@@ -12,54 +12,53 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a place is left to the one that it was offered to: as long as those that wait
-/// are given between two looks of their own.
-const OFFER_TIME: Duration = Duration::from_millis(15);
+/// Matches the interval at which waiting requests retry without an offer.
+const OFFER_TIMEOUT: Duration = Duration::from_millis(15);
 
-/// Who looks for a place.
+/// A request that needs a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotRequest {
-    /// How urgent it is.
     pub urgency: Urgency,
-    /// Whose it is.
     pub tenant: WorkTenant,
-    /// The regions in which it may be served.
+    /// Regions that may serve the request.
     pub regions: AllowedRegions,
 }
 
-/// The number of one that waits; lower ones came earlier.
+/// Identifies a waiting request. Tickets are issued in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SlotTicket(u64);
 
 #[derive(Debug)]
-struct Waiting {
+struct QueuedRequest {
     request: SlotRequest,
     offered_at: Option<Timestamp>,
 }
 
-impl Waiting {
-    fn has_let_pass(&self, now: Timestamp) -> bool {
+impl QueuedRequest {
+    fn is_offer_expired(&self, now: Timestamp) -> bool {
         let offered_at = self.offered_at;
-        offered_at.is_some_and(|offered_at| now.since(offered_at) > OFFER_TIME)
+        offered_at.is_some_and(|offered_at| now.since(offered_at) > OFFER_TIMEOUT)
     }
 }
 
-/// The order among requests: the least goes first.
+/// Sort key of a request; the lowest goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Turn {
-    /// False for a kind that is served much less than the others.
-    is_kind_served: bool,
+struct OrderKey {
+    /// False if the request's urgency is underserved.
+    is_adequately_served: bool,
     urgency: Urgency,
     tenant: TenantOrder,
     ticket: SlotTicket,
 }
 
-/// How many requests of each tenant wait; none is held that has none.
+/// Number of waiting requests by tenant.
+///
+/// Invariant: no count is zero.
 #[derive(Debug, Default)]
 struct WaitingTenants(BTreeMap<WorkTenant, usize>);
 
 impl WaitingTenants {
-    fn joined(&mut self, tenant: &WorkTenant) {
+    fn add(&mut self, tenant: &WorkTenant) {
         match self.0.get_mut(tenant) {
             Some(count) => *count += 1,
             None => {
@@ -68,7 +67,7 @@
         }
     }
 
-    fn left(&mut self, tenant: &WorkTenant) {
+    fn remove(&mut self, tenant: &WorkTenant) {
         let Some(count) = self.0.get_mut(tenant) else {
             return;
         };
@@ -79,57 +78,56 @@
     }
 }
 
-/// Those that wait for a place at one service, and what its tenants have under way.
+/// Requests that wait for a slot at one service, and the slots that its tenants use.
 #[derive(Debug, Default)]
 pub struct SlotQueue {
-    waiting: BTreeMap<SlotTicket, Waiting>,
-    tenants: WaitingTenants,
+    waiting: BTreeMap<SlotTicket, QueuedRequest>,
+    waiting_tenants: WaitingTenants,
     shares: TenantShares,
     served: ServedShares,
     last_ticket: u64,
 }
 
 impl SlotQueue {
-    /// True if nobody waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Puts a request among those that wait. One that waited before keeps its ticket, and
-    /// with that its age.
+    /// Adds a request to the queue. A request that rejoins with its ticket keeps its position
+    /// and may be offered slots again.
     pub fn join(&mut self, request: &SlotRequest, ticket: Option<SlotTicket>) -> SlotTicket {
         let ticket = ticket.unwrap_or_else(|| self.next_ticket());
-        let waiting = Waiting {
+        let queued = QueuedRequest {
             request: request.clone(),
             offered_at: None,
         };
-        if self.waiting.insert(ticket, waiting).is_none() {
-            self.tenants.joined(&request.tenant);
+        if self.waiting.insert(ticket, queued).is_none() {
+            self.waiting_tenants.add(&request.tenant);
         }
         ticket
     }
 
-    /// Takes a request out, if it waits.
+    /// Removes a request if it is queued.
     pub fn leave(&mut self, ticket: SlotTicket) {
-        if let Some(left) = self.waiting.remove(&ticket) {
-            self.tenants.left(&left.request.tenant);
+        if let Some(removed) = self.waiting.remove(&ticket) {
+            self.waiting_tenants.remove(&removed.request.tenant);
         }
         if self.waiting.is_empty() {
             self.shares.forget_idle();
         }
     }
 
-    /// A request has got its first place, or has ended without one.
-    pub fn record_outcome(&mut self, kind: Urgency, is_served: bool) {
-        self.served.record(kind, is_served);
+    /// Counts a request that got its first slot, or ended without one.
+    pub fn record_outcome(&mut self, urgency: Urgency, is_served: bool) {
+        self.served.record(urgency, is_served);
     }
 
-    /// A place was taken for a tenant.
+    /// Counts a slot as used by a tenant.
     pub fn record_start(&mut self, tenant: &WorkTenant) {
         self.shares.record_start(tenant);
     }
 
-    /// A place of a tenant came free.
+    /// Counts a slot of a tenant as released.
     pub fn record_end(&mut self, tenant: &WorkTenant) {
         self.shares.record_end(tenant);
         if self.waiting.is_empty() {
@@ -137,21 +135,21 @@
         }
     }
 
-    /// Offers a place to the first that waits and may use one. `can_serve` tells whether
-    /// there is a place in such regions.
+    /// Offers a slot to the first waiting request that may use it. `can_serve` returns whether
+    /// a slot is free in the given regions.
     pub fn offer(
         &mut self,
         now: Timestamp,
         can_serve: impl FnMut(&AllowedRegions) -> bool,
     ) -> Option<SlotTicket> {
-        let ticket = self.first_able(now, can_serve)?.ticket;
-        let waiting = self.waiting.get_mut(&ticket)?;
-        waiting.offered_at = waiting.offered_at.or(Some(now));
+        let ticket = self.first_eligible(now, can_serve)?.ticket;
+        let queued = self.waiting.get_mut(&ticket)?;
+        queued.offered_at = queued.offered_at.or(Some(now));
         Some(ticket)
     }
 
-    /// True if a request may take a place now: nobody that goes before it may use one.
-    /// `ticket` is its own if it has waited.
+    /// True if no waiting request that may use a free slot goes before `request`. `ticket` is
+    /// the request's own ticket if it has waited.
     pub fn is_next(
         &self,
         request: &SlotRequest,
@@ -159,25 +157,25 @@
         now: Timestamp,
         can_serve: impl FnMut(&AllowedRegions) -> bool,
     ) -> bool {
-        let own = self.turn(request, ticket);
-        let first = self.first_able(now, can_serve);
+        let own = self.order_key(request, ticket);
+        let first = self.first_eligible(now, can_serve);
         first.is_none_or(|first| own <= first)
     }
 
-    /// How many that wait go before a request whose tenant has more than its share under way.
-    /// Zero while its tenant has not.
+    /// Number of waiting requests that go before a request whose tenant exceeds its share.
+    /// Zero if the tenant does not.
     pub fn requests_ahead(&self, request: &SlotRequest, ticket: Option<SlotTicket>) -> usize {
         if self.waiting.is_empty() {
             return 0;
         }
-        let waiting = self.tenants.0.keys();
+        let waiting = self.waiting_tenants.0.keys();
         if !self.shares.exceeds_share(&request.tenant, waiting) {
             return 0;
         }
-        let own = self.turn(request, ticket);
-        let turns = self.waiting.iter();
-        turns
-            .filter(|(ticket, waiting)| self.turn(&waiting.request, Some(**ticket)) < own)
+        let own = self.order_key(request, ticket);
+        let queued = self.waiting.iter();
+        queued
+            .filter(|(ticket, queued)| self.order_key(&queued.request, Some(**ticket)) < own)
             .count()
     }
 
@@ -186,35 +184,36 @@
         SlotTicket(self.last_ticket)
     }
 
-    /// One that has no ticket comes after all that have one.
-    fn turn(&self, request: &SlotRequest, ticket: Option<SlotTicket>) -> Turn {
-        Turn {
-            is_kind_served: !self.served.is_short(request.urgency),
+    /// A request without a ticket goes after its equals that have one.
+    fn order_key(&self, request: &SlotRequest, ticket: Option<SlotTicket>) -> OrderKey {
+        OrderKey {
+            is_adequately_served: !self.served.is_underserved(request.urgency),
             urgency: request.urgency,
-            tenant: self.shares.turn(&request.tenant),
+            tenant: self.shares.order_of(&request.tenant),
             ticket: ticket.unwrap_or(SlotTicket(u64::MAX)),
         }
     }
 
-    fn first_able(
+    fn first_eligible(
         &self,
         now: Timestamp,
         mut can_serve: impl FnMut(&AllowedRegions) -> bool,
-    ) -> Option<Turn> {
-        let mut known: Vec<(&AllowedRegions, bool)> = Vec::new();
-        let mut is_able = |regions| {
-            if let Some((_, able)) = known.iter().find(|(known, _)| *known == regions) {
-                return *able;
+    ) -> Option<OrderKey> {
+        // Calls `can_serve` once for each distinct set of regions.
+        let mut cache: Vec<(&AllowedRegions, bool)> = Vec::new();
+        let mut has_slot = |regions| {
+            if let Some((_, cached)) = cache.iter().find(|(cached, _)| *cached == regions) {
+                return *cached;
             }
-            let able = can_serve(regions);
-            known.push((regions, able));
-            able
+            let result = can_serve(regions);
+            cache.push((regions, result));
+            result
         };
-        let able = self
-            .waiting
-            .iter()
-            .filter(|(_, waiting)| !waiting.has_let_pass(now) && is_able(&waiting.request.regions));
-        able.map(|(ticket, waiting)| self.turn(&waiting.request, Some(*ticket)))
+        let eligible = self.waiting.iter().filter(|(_, queued)| {
+            !queued.is_offer_expired(now) && has_slot(&queued.request.regions)
+        });
+        eligible
+            .map(|(ticket, queued)| self.order_key(&queued.request, Some(*ticket)))
             .min()
     }
 }
--- a/crates/sloetrail-balance/src/tests.rs
+++ b/crates/sloetrail-balance/src/tests.rs
@@ -59,10 +59,14 @@
 fn choose(balancer: &mut Balancer, now: u64) -> Option<EngineId> {
     let mut random = StdRng::seed_from_u64(3);
     let none = BTreeSet::new();
-    balancer.choose(Timestamp(now), &mut random, demand(WorkClass::Live, &none))
+    balancer.choose(
+        Timestamp(now),
+        &mut random,
+        requirements(WorkClass::Live, &none),
+    )
 }
 
-fn demand(class: WorkClass, excluded: &BTreeSet<EngineId>) -> EngineRequirements<'_> {
+fn requirements(class: WorkClass, excluded: &BTreeSet<EngineId>) -> EngineRequirements<'_> {
     EngineRequirements {
         class,
         excluded,
@@ -71,7 +75,7 @@
 }
 
 #[test]
-fn an_engine_without_fresh_news_is_not_chosen() {
+fn engine_without_a_fresh_report_is_not_chosen() {
     let mut balancer = balancer();
     assert_eq!(choose(&mut balancer, 100), None);
     let id = EngineId::from("near-1");
@@ -88,14 +92,17 @@
     balancer
 }
 
-/// Each new connection costs the engine and the caller time, and a node of a large fleet
-/// has few requests for each engine.
+/// Guards against a node with few requests opening a connection to every engine.
 #[test]
-fn a_node_with_little_to_do_keeps_to_one_engine_and_nodes_differ_in_which() {
+fn lightly_loaded_node_keeps_to_one_engine() {
     let mut random = StdRng::seed_from_u64(5);
     let mut choose = |balancer: &mut Balancer| {
         let none = BTreeSet::new();
-        let chosen = balancer.choose(Timestamp(200), &mut random, demand(WorkClass::Live, &none));
+        let chosen = balancer.choose(
+            Timestamp(200),
+            &mut random,
+            requirements(WorkClass::Live, &none),
+        );
         chosen.expect("an engine with room")
     };
     let mut preferred = BTreeSet::new();
@@ -110,27 +117,30 @@
         }
         preferred.insert(first);
     }
-    assert_eq!(preferred.len(), 2, "the nodes spread over the engines");
+    assert_eq!(preferred.len(), 2, "the nodes prefer different engines");
 }
 
-/// The owner of a service has dozens of reward calls under way at a few applications: none
-/// of them may have more than its part because the node prefers it.
+/// Guards against a busy node overloading the engine that it prefers.
 #[test]
-fn a_node_with_much_to_do_loads_no_engine_more_than_another() {
+fn busy_node_spreads_requests_evenly() {
     const ROUNDS: usize = 2_000;
-    const UNDER_WAY: usize = 5;
+    const MAX_IN_FLIGHT: usize = 5;
     let mut random = StdRng::seed_from_u64(5);
     let mut balancer = serving_near("node-1");
     let none = BTreeSet::new();
-    let mut under_way: Vec<EngineId> = Vec::new();
+    let mut in_flight: Vec<EngineId> = Vec::new();
     let mut chosen: BTreeMap<EngineId, usize> = BTreeMap::new();
     for _ in 0..ROUNDS {
-        let id = balancer.choose(Timestamp(200), &mut random, demand(WorkClass::Live, &none));
+        let id = balancer.choose(
+            Timestamp(200),
+            &mut random,
+            requirements(WorkClass::Live, &none),
+        );
         let id = id.expect("an engine with room");
         *chosen.entry(id.clone()).or_default() += 1;
-        under_way.push(id);
-        if under_way.len() > UNDER_WAY {
-            let ended = under_way.swap_remove(random.random_range(0..under_way.len()));
+        in_flight.push(id);
+        if in_flight.len() > MAX_IN_FLIGHT {
+            let ended = in_flight.swap_remove(random.random_range(0..in_flight.len()));
             balancer.finish(Timestamp(200), &ended, AttemptOutcome::Answered);
         }
     }
@@ -139,7 +149,7 @@
 }
 
 #[test]
-fn the_own_zone_goes_first_and_the_others_when_it_is_full() {
+fn other_zones_are_used_when_the_local_one_is_full() {
     let mut balancer = balancer();
     let near = EngineId::from("near-1");
     balancer.report(&near, report(100, ReportedState::Serving, 0));
@@ -154,7 +164,7 @@
 }
 
 #[test]
-fn a_leaving_engine_stays_out_even_if_the_list_forgets() {
+fn leaving_engine_stays_excluded_when_relisted() {
     let mut balancer = balancer();
     let id = EngineId::from("near-1");
     balancer.set_engines(Timestamp(0), vec![listed("near-1", "hfj", true)]);
@@ -163,10 +173,10 @@
     assert_eq!(choose(&mut balancer, 200), None);
 }
 
-/// A row that lapses while the list's keeper is away comes back; what ran meanwhile must
-/// not cost the engine its place.
+/// An engine's row may expire and return. Guards against excluding the engine for good when
+/// requests were in flight meanwhile.
 #[test]
-fn an_engine_that_was_not_listed_for_a_while_takes_work_again() {
+fn relisted_engine_takes_work_again() {
     let mut balancer = balancer();
     let id = EngineId::from("near-1");
     balancer.report(&id, report(100, ReportedState::Serving, 0));
@@ -179,7 +189,7 @@
 }
 
 #[test]
-fn a_lost_engine_stays_out_until_it_is_heard_from_again() {
+fn lost_engine_is_not_chosen_until_reported_again() {
     let mut balancer = balancer();
     let id = EngineId::from("near-1");
     balancer.report(&id, report(100, ReportedState::Serving, 0));
@@ -187,13 +197,17 @@
     balancer.finish(Timestamp(160), &id, AttemptOutcome::Lost);
     assert_eq!(choose(&mut balancer, 170), None);
     balancer.report(&id, report(155, ReportedState::Serving, 0));
-    assert_eq!(choose(&mut balancer, 170), None, "the news is older");
+    assert_eq!(
+        choose(&mut balancer, 170),
+        None,
+        "the report predates the loss"
+    );
     balancer.report(&id, report(180, ReportedState::Serving, 0));
     assert_eq!(choose(&mut balancer, 190), Some(id));
 }
 
 #[test]
-fn own_sends_since_the_report_count_as_load() {
+fn requests_sent_since_the_report_count_as_load() {
     let mut balancer = balancer();
     for name in ["near-1", "near-2"] {
         balancer.report(
@@ -208,7 +222,7 @@
             .choose(
                 Timestamp(110),
                 &mut random,
-                demand(WorkClass::Live, &BTreeSet::new()),
+                requirements(WorkClass::Live, &BTreeSet::new()),
             )
             .expect("there is room");
         counts[usize::from(chosen == EngineId::from("near-2"))] += 1;
@@ -217,7 +231,7 @@
 }
 
 #[test]
-fn the_limit_shrinks_on_overload_and_grows_back() {
+fn limit_decreases_on_overload_and_recovers() {
     let mut limit = ConcurrencyLimit::new(10);
     limit.on_overload();
     assert_eq!(limit.current(), 7);
@@ -232,7 +246,7 @@
 }
 
 #[test]
-fn retries_stay_a_share_of_first_attempts() {
+fn retries_are_limited_to_a_share_of_first_attempts() {
     let mut budget = RetryBudget::new(10);
     let mut retries = 0;
     for _ in 0..1_000 {
@@ -244,7 +258,7 @@
 }
 
 #[test]
-fn samples_leave_a_quarter_of_the_places_to_callers() {
+fn samples_leave_a_quarter_of_the_slots_to_callers() {
     let mut balancer = balancer();
     balancer.report(
         &EngineId::from("near-1"),
@@ -257,7 +271,7 @@
         .choose(
             Timestamp(110),
             &mut random,
-            demand(WorkClass::Sample, &none),
+            requirements(WorkClass::Sample, &none),
         )
         .is_some()
     {
@@ -268,7 +282,7 @@
 }
 
 #[test]
-fn one_broken_answer_does_not_put_an_engine_out_but_three_in_a_row_do() {
+fn engine_is_excluded_after_three_consecutive_failures() {
     let mut balancer = balancer();
     let id = EngineId::from("near-1");
     balancer.report(&id, report(100, ReportedState::Serving, 0));
@@ -287,7 +301,7 @@
 }
 
 #[test]
-fn a_running_answer_is_news_of_its_engine_and_its_weights() {
+fn partial_answer_confirms_engine_and_weight_version() {
     let mut balancer = balancer();
     let id = EngineId::from("near-1");
     let second = Duration::from_millis(1_000);
@@ -301,7 +315,7 @@
 }
 
 #[test]
-fn nine_of_ten_answers_come_within_the_estimated_time() {
+fn nine_of_ten_answers_come_within_the_estimate() {
     let mut random = rand::rngs::StdRng::seed_from_u64(7);
     let mut quantile = LatencyQuantile::default();
     let answer = |random: &mut rand::rngs::StdRng, scale: f64| {
@@ -309,14 +323,14 @@
     };
     let mut within = |scale: f64, warm_up: usize| {
         for _ in 0..warm_up {
-            let took = answer(&mut random, scale);
-            quantile.record(took);
+            let latency = answer(&mut random, scale);
+            quantile.record(latency);
         }
         let mut count = 0;
         for _ in 0..1_000 {
-            let took = answer(&mut random, scale);
-            count += usize::from(took <= quantile.estimate());
-            quantile.record(took);
+            let latency = answer(&mut random, scale);
+            count += usize::from(latency <= quantile.estimate());
+            quantile.record(latency);
         }
         count
     };
@@ -327,7 +341,7 @@
 }
 
 #[test]
-fn the_first_answer_is_the_first_estimate() {
+fn first_answer_sets_the_estimate() {
     let mut quantile = LatencyQuantile::default();
     quantile.record(Duration::from_millis(80));
     assert_eq!(quantile.estimate(), Duration::from_millis(80));
--- a/crates/sloetrail-balance/src/tests/cold.rs
+++ b/crates/sloetrail-balance/src/tests/cold.rs
@@ -1,4 +1,4 @@
-//! What cold engines get, from one sender and from all together.
+//! Limits on sends to cold engines, by one sender and by all senders together.
 
 use super::locality::{ENGINES, choose, listed, mark, serving};
 use super::{EVERYWHERE, report};
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 #[test]
-fn cold_engines_get_what_warm_ones_cannot_take_and_no_more_than_their_bound() {
+fn cold_engine_gets_overflow_within_its_bound() {
     let cold = ColdEngine {
         until: Timestamp(3_000),
         bound: Some(SendBound::per_second(2.0)),
@@ -30,11 +30,11 @@
     );
     assert!(chosen[0] && chosen[1] && chosen[11], "{chosen:?}");
     let warm = (0..5).filter(|_| choose(&mut balancer, 3_000).is_some());
-    assert_eq!(warm.count(), 5, "a warm engine is not spared");
+    assert_eq!(warm.count(), 5, "a warm engine is not throttled");
 }
 
 #[test]
-fn what_was_sent_counts_although_the_engine_was_not_listed_in_between() {
+fn sends_still_count_after_the_engine_is_relisted() {
     let cold = ColdEngine {
         until: Timestamp(30_000),
         bound: Some(SendBound::per_second(2.0)),
@@ -47,14 +47,14 @@
     balancer.set_engines(Timestamp(300), Vec::new());
     assert_eq!(choose(&mut balancer, 310), None);
     balancer.set_engines(Timestamp(400), vec![own]);
-    let news = report(400, ReportedState::Serving, 0);
-    balancer.report(&EngineId::from("own"), news);
+    let update = report(400, ReportedState::Serving, 0);
+    balancer.report(&EngineId::from("own"), update);
     assert_eq!(choose(&mut balancer, 500), None);
     assert!(choose(&mut balancer, 1_400).is_some());
 }
 
 #[test]
-fn waiting_does_not_help_where_other_nodes_send_a_cold_engine_all_that_it_bears() {
+fn cold_engine_budgeted_to_other_nodes_may_not_serve() {
     let cold = |bound| ColdEngine {
         until: Timestamp(3_000),
         bound: Some(bound),
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn any_span_of_the_bound_holds_no_more_sends() {
+fn no_window_exceeds_the_send_bound() {
     let bound = SendBound::per_second(7.9);
     let mut window = SendWindow::default();
     let mut sends = Vec::new();
@@ -81,21 +81,20 @@
         }
     }
     for first in &sends {
-        let within = sends
+        let recent = sends
             .iter()
             .filter(|at| *at >= first && **at < first + 1_000);
-        assert!(within.count() <= 7);
+        assert!(recent.count() <= 7);
     }
     assert!(sends.len() >= 60, "{} sends in ten seconds", sends.len());
     let slow = SendBound::per_second(0.5);
-    assert_eq!((slow.most, slow.span), (1, Duration::from_secs(2)));
+    assert_eq!((slow.max_sends, slow.window), (1, Duration::from_secs(2)));
     assert_eq!(SendBound::per_second(0.0), SendBound::NONE);
 }
 
-/// However many nodes there are: what they may send together, in any second, is what the
-/// back end bears.
+/// Guards against the sum of the nodes' bounds exceeding what the back end sustains.
 #[test]
-fn all_nodes_together_send_a_cold_back_end_no_more_than_it_bears() {
+fn all_nodes_together_stay_within_the_sustained_rate() {
     for nodes in [1, 3, 7, 8, 83, 350] {
         let names: Vec<String> = (0..nodes).map(|number| format!("node-{number}")).collect();
         for sustained_per_second in [0.3, 1.0, 7.9, 40.0] {
@@ -109,19 +108,19 @@
                 budget.live_bound("i-1", own, senders)
             };
             let bounds = names.iter().map(bound);
-            let rate = bounds.map(|bound| bound.most as f64 / bound.span.as_secs_f64());
+            let rate = bounds.map(|bound| bound.max_sends as f64 / bound.window.as_secs_f64());
             let rate: f64 = rate.sum();
             assert!(
                 rate <= sustained_per_second + 1e-9,
                 "{nodes} nodes, {sustained_per_second}: {rate}"
             );
-            assert!(rate > 0.0, "somebody may send");
+            assert!(rate > 0.0, "at least one node may send");
         }
     }
 }
 
 #[test]
-fn an_owner_and_its_successor_together_keep_the_most() {
+fn owner_and_successor_together_stay_within_the_maximum() {
     for (sustained_per_second, excess, slack, senders) in [
         (7.9, 1.5, 5.0, 1),
         (7.9, 1.5, 5.0, 2),
@@ -134,12 +133,12 @@
             max_per_second,
             senders,
         };
-        let cold = budget.owner_bound().most;
-        let unnoticed = budget.possibly_cold_bound().most;
-        let both = (senders * (cold + unnoticed.max(cold))) as f64;
+        let cold = budget.owner_bound().max_sends;
+        let possibly_cold = budget.possibly_cold_bound().max_sends;
+        let both = (senders * (cold + possibly_cold.max(cold))) as f64;
         assert!(
             both <= max_per_second,
-            "{sustained_per_second}: {cold} and {unnoticed} of {max_per_second}"
+            "{sustained_per_second}: {cold} and {possibly_cold} of {max_per_second}"
         );
         assert!(cold >= 1);
     }
--- a/crates/sloetrail-balance/src/tests/locality.rs
+++ b/crates/sloetrail-balance/src/tests/locality.rs
@@ -1,4 +1,4 @@
-//! Which engines are nearer, which regions are allowed, which zones are evacuated.
+//! Preference for near engines, allowed regions and evacuated zones.
 
 use super::{EVERYWHERE, report};
 use crate::{
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// An engine in the own zone, one in the own region and two elsewhere, with their zones.
+/// Engines with their zones: one in the local zone, one in the local region, two elsewhere.
 pub(super) const ENGINES: [(&str, &str); 4] = [
     ("own", "a1"),
     ("near", "a2"),
@@ -50,12 +50,12 @@
 fn choose_in(balancer: &mut Balancer, regions: &AllowedRegions, now: u64) -> Option<String> {
     let mut random = StdRng::seed_from_u64(3);
     let excluded = BTreeSet::new();
-    let demand = EngineRequirements {
+    let requirements = EngineRequirements {
         class: WorkClass::Live,
         excluded: &excluded,
         regions,
     };
-    let id = balancer.choose(Timestamp(now), &mut random, demand)?;
+    let id = balancer.choose(Timestamp(now), &mut random, requirements)?;
     balancer.finish(Timestamp(now), &id, AttemptOutcome::Answered);
     Some(id.as_str().to_owned())
 }
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn engines_of_the_own_zone_then_of_the_own_region_go_first() {
+fn local_zone_goes_first_then_local_region() {
     let mut engines = listed();
     let mut balancer = serving(engines.clone());
     assert_eq!(choose(&mut balancer, 200).as_deref(), Some("own"));
@@ -80,12 +80,12 @@
     assert_eq!(choose(&mut balancer, 200).as_deref(), Some("near"));
     mark(&mut engines, "near", |engine| engine.leaving = true);
     balancer.set_engines(Timestamp(200), engines.clone());
-    let far = choose(&mut balancer, 200).expect("one elsewhere");
+    let far = choose(&mut balancer, 200).expect("an engine elsewhere");
     assert!(far.starts_with("far"), "{far}");
 }
 
 #[test]
-fn an_evacuation_is_taken_back_and_a_leave_is_not() {
+fn evacuation_is_reversible_and_leaving_is_not() {
     let mut engines = listed();
     for (id, _) in ENGINES {
         mark(&mut engines, id, |engine| engine.evacuated = true);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn no_engine_of_another_region_than_the_allowed_ones_is_chosen() {
+fn only_engines_of_allowed_regions_are_chosen() {
     let mut balancer = serving(listed());
     let only = |name: &str| AllowedRegions::only([RegionName::from(name)]);
     for _ in 0..20 {
--- a/crates/sloetrail-balance/src/tests/tenant_shares.rs
+++ b/crates/sloetrail-balance/src/tests/tenant_shares.rs
@@ -1,4 +1,4 @@
-//! Which tenant's turn it is, and when one has more than its share.
+//! The order of tenants, and when a tenant exceeds its share.
 
 use crate::{TenantShares, WorkTenant};
 use sloetrail_types::TenantName;
@@ -8,9 +8,9 @@
     Some(TenantName::from(name))
 }
 
-fn shares(under_way: &[(&str, usize)]) -> TenantShares {
+fn shares(in_flight: &[(&str, usize)]) -> TenantShares {
     let mut shares = TenantShares::default();
-    for (name, count) in under_way {
+    for (name, count) in in_flight {
         for _ in 0..*count {
             shares.record_start(&tenant(name));
         }
@@ -19,27 +19,27 @@
 }
 
 #[test]
-fn the_tenant_with_the_least_under_way_goes_first() {
+fn tenant_with_least_in_flight_goes_first() {
     let shares = shares(&[("much", 3), ("little", 1)]);
-    assert!(shares.turn(&tenant("little")) < shares.turn(&tenant("much")));
-    assert!(shares.turn(&tenant("nothing")) < shares.turn(&tenant("little")));
-    assert!(shares.turn(&None) < shares.turn(&tenant("little")));
+    assert!(shares.order_of(&tenant("little")) < shares.order_of(&tenant("much")));
+    assert!(shares.order_of(&tenant("nothing")) < shares.order_of(&tenant("little")));
+    assert!(shares.order_of(&None) < shares.order_of(&tenant("little")));
 }
 
 #[test]
-fn of_tenants_with_as_much_under_way_the_one_served_longest_ago_goes_first() {
+fn least_recently_served_of_equal_tenants_goes_first() {
     let mut shares = shares(&[("first", 1), ("second", 1)]);
-    assert!(shares.turn(&tenant("first")) < shares.turn(&tenant("second")));
+    assert!(shares.order_of(&tenant("first")) < shares.order_of(&tenant("second")));
     shares.record_end(&tenant("first"));
     shares.record_end(&tenant("second"));
-    assert!(shares.turn(&tenant("first")) < shares.turn(&tenant("second")));
+    assert!(shares.order_of(&tenant("first")) < shares.order_of(&tenant("second")));
     shares.record_start(&tenant("first"));
     shares.record_end(&tenant("first"));
-    assert!(shares.turn(&tenant("second")) < shares.turn(&tenant("first")));
+    assert!(shares.order_of(&tenant("second")) < shares.order_of(&tenant("first")));
 }
 
 #[test]
-fn a_tenant_is_beyond_its_share_only_beside_others() {
+fn tenant_exceeds_its_share_only_beside_others() {
     let alone = shares(&[("much", 6)]);
     let (much, other) = (tenant("much"), tenant("other"));
     assert!(!alone.exceeds_share(&much, [&much].into_iter()));
@@ -52,102 +52,108 @@
 }
 
 #[test]
-fn a_recount_replaces_what_is_under_way_and_keeps_the_last_starts() {
+fn recount_replaces_in_flight_and_keeps_last_starts() {
     let mut shares = shares(&[("first", 2), ("second", 1)]);
     let (first, second) = (tenant("first"), tenant("second"));
     shares.recount([(&second, 1), (&first, 1)].into_iter());
-    assert!(shares.turn(&first) < shares.turn(&second));
+    assert!(shares.order_of(&first) < shares.order_of(&second));
     shares.recount([(&first, 1)].into_iter());
-    assert!(shares.turn(&second) < shares.turn(&first));
+    assert!(shares.order_of(&second) < shares.order_of(&first));
     assert!(shares.exceeds_share(&first, [&second].into_iter()));
 }
 
 #[test]
-fn an_end_that_has_no_start_counts_for_nothing() {
+fn end_without_start_is_ignored() {
     let mut shares = shares(&[("one", 1)]);
     shares.record_end(&tenant("other"));
     shares.record_end(&tenant("one"));
     shares.record_end(&tenant("one"));
     assert!(!shares.exceeds_share(&tenant("one"), [&tenant("other")].into_iter()));
     shares.forget_idle();
-    assert_eq!(shares.turn(&tenant("one")), shares.turn(&tenant("other")));
+    assert_eq!(
+        shares.order_of(&tenant("one")),
+        shares.order_of(&tenant("other"))
+    );
 }
 
-/// Items of one length each at a fixed number of places, in rounds of one unit of time.
+/// A tenant's items, all submitted at time zero.
 struct Load {
     tenant: &'static str,
     items: usize,
-    /// How long one item takes.
+    /// Time units that one item takes.
     length: usize,
 }
 
-/// The time at which each tenant's last item ends if `choose` names the tenant whose item is
-/// started each time that a place is free.
-fn ends(
+/// Simulates a fixed number of slots and returns when each tenant's last item completed.
+/// `choose` picks the tenant whose item starts in a free slot, given the items in flight by
+/// tenant and the tenants with waiting items.
+fn completion_times(
     loads: &[Load],
-    places: usize,
+    slots: usize,
     mut choose: impl FnMut(&BTreeMap<&'static str, usize>, &[&'static str]) -> &'static str,
 ) -> BTreeMap<&'static str, usize> {
-    let mut left: BTreeMap<&str, usize> =
+    let mut remaining: BTreeMap<&str, usize> =
         loads.iter().map(|load| (load.tenant, load.items)).collect();
     let lengths: BTreeMap<&str, usize> = loads
         .iter()
         .map(|load| (load.tenant, load.length))
         .collect();
     let mut running: Vec<(usize, &'static str)> = Vec::new();
-    let mut ends = BTreeMap::new();
+    let mut completed = BTreeMap::new();
     for now in 0.. {
         for (_, tenant) in running.iter().filter(|(end, _)| *end == now) {
-            ends.insert(*tenant, now);
+            completed.insert(*tenant, now);
         }
         running.retain(|(end, _)| *end > now);
-        while running.len() < places {
+        while running.len() < slots {
             let waiting: Vec<&'static str> = loads
                 .iter()
                 .map(|load| load.tenant)
-                .filter(|tenant| left[tenant] > 0)
+                .filter(|tenant| remaining[tenant] > 0)
                 .collect();
             if waiting.is_empty() {
                 break;
             }
-            let mut under_way = BTreeMap::new();
+            let mut in_flight = BTreeMap::new();
             for (_, tenant) in &running {
-                *under_way.entry(*tenant).or_insert(0) += 1;
+                *in_flight.entry(*tenant).or_insert(0) += 1;
             }
-            let tenant = choose(&under_way, &waiting);
-            *left.get_mut(tenant).expect("known") -= 1;
+            let tenant = choose(&in_flight, &waiting);
+            *remaining.get_mut(tenant).expect("known") -= 1;
             running.push((now + lengths[tenant], tenant));
         }
         if running.is_empty() {
-            return ends;
+            return completed;
         }
     }
-    ends
+    completed
 }
 
-fn in_order_of_arrival(loads: &[Load], places: usize) -> BTreeMap<&'static str, usize> {
-    ends(loads, places, |_, waiting| waiting[0])
+fn in_order_of_arrival(loads: &[Load], slots: usize) -> BTreeMap<&'static str, usize> {
+    completion_times(loads, slots, |_, waiting| waiting[0])
 }
 
-fn least_under_way(loads: &[Load], places: usize) -> BTreeMap<&'static str, usize> {
+fn least_in_flight(loads: &[Load], slots: usize) -> BTreeMap<&'static str, usize> {
     let mut shares = TenantShares::default();
-    ends(loads, places, |under_way, waiting| {
-        let owners: Vec<(WorkTenant, usize)> = under_way
+    completion_times(loads, slots, |in_flight, waiting| {
+        let counts: Vec<(WorkTenant, usize)> = in_flight
             .iter()
             .map(|(name, count)| (tenant(name), *count))
             .collect();
-        shares.recount(owners.iter().map(|(owner, count)| (owner, *count)));
-        let chosen = waiting.iter().min_by_key(|name| shares.turn(&tenant(name)));
-        let chosen = *chosen.expect("one waits");
+        shares.recount(counts.iter().map(|(tenant, count)| (tenant, *count)));
+        let chosen = waiting
+            .iter()
+            .min_by_key(|name| shares.order_of(&tenant(name)));
+        let chosen = *chosen.expect("a waiting tenant");
         shares.record_start(&tenant(chosen));
         chosen
     })
 }
 
-/// Deficit round robin with a quantum of one item, whose length is not known beforehand.
-fn in_rounds(loads: &[Load], places: usize) -> BTreeMap<&'static str, usize> {
+/// Deficit round robin with a quantum of one item of unknown length.
+fn round_robin(loads: &[Load], slots: usize) -> BTreeMap<&'static str, usize> {
     let mut order: VecDeque<&'static str> = loads.iter().map(|load| load.tenant).collect();
-    ends(loads, places, |_, waiting| {
+    completion_times(loads, slots, |_, waiting| {
         loop {
             let next = order.pop_front().expect("a tenant");
             order.push_back(next);
@@ -158,8 +164,9 @@
     })
 }
 
+/// Guards against one tenant's many or long items delaying another tenant.
 #[test]
-fn a_flood_of_items_delays_another_tenant_least_where_the_least_under_way_goes_first() {
+fn least_in_flight_order_limits_delay_by_other_tenants() {
     let flood = |length| {
         let flood = Load {
             tenant: "flood",
@@ -176,12 +183,12 @@
         ]
     };
     let even = flood(2);
-    let (arrival, least) = (in_order_of_arrival(&even, 8), least_under_way(&even, 8));
+    let (arrival, least) = (in_order_of_arrival(&even, 8), least_in_flight(&even, 8));
     assert_eq!((arrival["other"], least["other"]), (110, 20));
-    assert_eq!(in_rounds(&even, 8)["other"], 20);
+    assert_eq!(round_robin(&even, 8)["other"], 20);
     let (arrival, least) = (arrival["flood"], least["flood"]);
     assert_eq!((arrival, least), (100, 110));
     let long = flood(10);
-    let (least, rounds) = (least_under_way(&long, 8), in_rounds(&long, 8));
-    assert_eq!((least["other"], rounds["other"]), (20, 58));
+    let (least, rotated) = (least_in_flight(&long, 8), round_robin(&long, 8));
+    assert_eq!((least["other"], rotated["other"]), (20, 58));
 }
--- a/crates/sloetrail-routing/src/configuration.rs
+++ b/crates/sloetrail-routing/src/configuration.rs
@@ -1,6 +1,6 @@
-//! The typed serving configuration.
+//! Validated serving configuration.
 
-use crate::error::{BadPrefixSnafu, BadWeightsSnafu, NoServiceSnafu, UnknownKindSnafu};
+use crate::error::{InvalidPrefixSnafu, InvalidWeightsSnafu, NoServiceSnafu, UnknownKindSnafu};
 use crate::raw::{RawConfiguration, RawLimits, RawRoute, RawScaling, RawService};
 use crate::{ConfigurationError, RouteTable, Tenant, Tenants};
 use sloetrail_scaling::ScalingBounds;
@@ -16,115 +16,108 @@
 const DEFAULT_RETENTION: Duration = Duration::from_secs(600);
 const DEFAULT_PRIORITY: u8 = 5;
 const DEFAULT_SLOTS: usize = 8;
-const DEFAULT_CONNECTIONS: usize = 100;
-const DEFAULT_HEADER_BYTES: usize = 16 * 1024;
-const DEFAULT_BODY_BYTES: usize = 32 * 1024 * 1024;
+const DEFAULT_MAX_CONNECTIONS: usize = 100;
+const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1024;
+const DEFAULT_MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
 const DEFAULT_HEADER_TIMEOUT: Duration = Duration::from_secs(3);
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A route's name.
 pub type RouteName = String;
 
-/// What may be done with the requests of a route.
+/// How the requests of a route may be run and answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// They may run more than once.
+    /// Requests may run more than once.
     Idempotent,
-    /// They run at most once.
+    /// Requests run at most once.
     NonIdempotent,
-    /// The answer is a series of events.
+    /// The answer is a stream of events.
     Stream,
-    /// Batches of items that run later.
+    /// Requests submit batches of items that run asynchronously.
     Rollout,
 }
 
 /// A service and its share of a route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
-    /// The service.
     pub service: ServiceName,
-    /// Its share, relative to the others.
+    /// Relative to the weights of the route's other services.
     pub weight: f64,
 }
 
-/// One route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
     pub name: RouteName,
-    /// The `Host` that it serves.
+    /// `Host` of the requests that the route matches, in lower case.
     pub host: String,
-    /// The beginning of the paths that it serves; begins and ends with a slash.
+    /// Prefix of the paths that the route matches; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be done with its requests.
     pub kind: RouteKind,
-    /// The longest that a request may be held.
+    /// Maximum time that a request may be pending.
     pub timeout: Duration,
-    /// The time within which an answer is wanted.
+    /// Target latency of an answer.
     pub latency_target: Duration,
-    /// The rank; zero is the most urgent.
+    /// Zero is the most urgent.
     pub priority: u8,
-    /// The services, at least one.
+    /// Never empty.
     pub services: Vec<WeightedService>,
-    /// The most back ends that one request may be sent to.
+    /// Maximum number of back ends that one request may be sent to; at least one.
     pub max_attempts: usize,
-    /// Whether a broken answer may be taken up at another back end.
+    /// Whether an interrupted answer may be resumed at another back end.
     pub resumable: bool,
-    /// Whether a sample must come from one version of the weights.
+    /// Whether a sample must be generated with a single weight version.
     pub single_version: bool,
-    /// How long after its submission a batch is wanted whole.
+    /// Target time from the submission of a batch to its completion.
     pub run_target: Duration,
-    /// How long after its submission an item may be given up.
+    /// Time after submission from which an item may be abandoned.
     pub retention: Duration,
     /// Whether callers need no key.
     pub is_public: bool,
-    /// The regions in which its requests may be served.
+    /// Regions that may serve the route's requests.
     pub allowed_regions: AllowedRegions,
 }
 
-/// What is known of a model service.
+/// Properties of a model service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ModelService {
-    /// Requests that one engine runs at a time.
+    /// Requests that one engine runs concurrently.
     pub slots: usize,
-    /// The models that the engines hold.
+    /// Models that the engines have loaded.
     pub models: Vec<String>,
 }
 
-/// One service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServingService {
-    /// Its name.
     pub name: ServiceName,
-    /// The most connections that one back end accepts from all nodes together.
+    /// Maximum number of connections that one back end accepts from all nodes together.
     pub max_connections: usize,
-    /// Present if the back ends are model engines.
+    /// None if the back ends are not model engines.
     pub model: Option<ModelService>,
-    /// Present if the number of back ends may be ordered.
+    /// None if the number of back ends is not scaled.
     pub scaling: Option<ScalingBounds>,
-    /// What a back end bears while it is cold.
     pub cold: ColdBounds,
 }
 
-/// What a back end bears for some time after its start.
+/// Limits of a back end that has recently started.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ColdBounds {
-    /// How long it is cold after a start.
+    /// How long a back end is cold after its start.
     pub cold_duration: Duration,
-    /// Requests a second from all nodes together; nothing means as many as a warm one.
+    /// Requests per second from all nodes together. None if a cold back end sustains as many as
+    /// a warm one.
     pub per_second: Option<f64>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's header.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body.
     pub body_bytes: usize,
-    /// How long a request's head may take.
+    /// Maximum time to receive the header of a request.
     pub header_timeout: Duration,
-    /// How long a connection may rest.
+    /// Maximum time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
@@ -139,37 +132,34 @@
         let milliseconds =
             |value: Option<u64>, default: Duration| value.map_or(default, Duration::from_millis);
         Self {
-            header_bytes: raw.max_header_bytes.unwrap_or(DEFAULT_HEADER_BYTES),
-            body_bytes: raw.max_body_bytes.unwrap_or(DEFAULT_BODY_BYTES),
+            header_bytes: raw.max_header_bytes.unwrap_or(DEFAULT_MAX_HEADER_BYTES),
+            body_bytes: raw.max_body_bytes.unwrap_or(DEFAULT_MAX_BODY_BYTES),
             header_timeout: milliseconds(raw.header_timeout_ms, DEFAULT_HEADER_TIMEOUT),
             idle_timeout: milliseconds(raw.idle_timeout_ms, DEFAULT_IDLE_TIMEOUT),
         }
     }
 }
 
-/// A whole configuration, checked.
+/// A whole configuration that has passed validation.
 #[derive(Clone, Debug)]
 pub struct ServingConfiguration {
-    /// Grows with each configuration.
+    /// Increases with each configuration.
     pub revision: Revision,
-    /// The routes, by host and path.
     pub routes: RouteTable,
-    /// The services by name.
     pub services: BTreeMap<ServiceName, ServingService>,
-    /// Bounds on what callers may send.
     pub limits: RequestLimits,
-    /// Who may call; nothing means anybody.
+    /// None if callers need no key.
     pub tenants: Option<Tenants>,
 }
 
 impl ServingConfiguration {
-    /// The routes and tenants that have no region in common.
+    /// Pairs of a route and a tenant that have no allowed region in common.
     pub fn region_conflicts(&self) -> impl Iterator<Item = (&Route, &Tenant)> {
         let tenants = self.tenants.as_ref().map(Tenants::by_name);
         let tenants: Vec<&Tenant> = tenants.unwrap_or_default().into_values().collect();
         self.routes.iter().flat_map(move |route| {
-            let excluded = tenants.clone().into_iter();
-            excluded
+            let conflicting = tenants.clone().into_iter();
+            conflicting
                 .filter(|tenant| {
                     let common = route.allowed_regions.and(&tenant.allowed_regions);
                     common.is_nowhere()
@@ -178,14 +168,14 @@
         })
     }
 
-    /// Reads and checks the JSON form.
+    /// Parses and validates the JSON form.
     pub fn parse(json: &[u8]) -> Result<Self, ConfigurationError> {
         let raw: RawConfiguration =
             serde_json::from_slice(json).map_err(|error| ConfigurationError::unreadable(&error))?;
         Self::check(raw)
     }
 
-    /// Checks a configuration that has been read.
+    /// Validates a parsed configuration.
     pub fn check(raw: RawConfiguration) -> Result<Self, ConfigurationError> {
         let routes: Result<Vec<Arc<Route>>, ConfigurationError> = raw
             .routes
@@ -204,19 +194,20 @@
         })
     }
 
-    /// What is known of how back ends of a service start.
+    /// Limits of a service's cold back ends. The default if the service is unknown.
     pub fn cold_bounds(&self, service: &ServiceName) -> ColdBounds {
         let known = self.services.get(service);
         known.map(|service| service.cold).unwrap_or_default()
     }
 
-    /// True if live requests go to a service: a route of another kind than batches does.
+    /// True if a route of another kind than [`RouteKind::Rollout`] leads to a service.
     pub fn has_live_requests(&self, service: &ServiceName) -> bool {
         let mut routes = self.routes.iter();
         routes.any(|route| route.routes_to(service) && route.kind != RouteKind::Rollout)
     }
 
-    /// The services whose batches need an owner: those that a rollout route names.
+    /// Names of the services of all rollout routes, sorted. Each of them needs an owner for its
+    /// batches.
     pub fn rollout_services(&self) -> Vec<ServiceName> {
         let mut names: Vec<ServiceName> = self
             .routes
@@ -229,9 +220,10 @@
         names
     }
 
-    /// The sets of regions to which batches of a service may be bound, each of which needs
-    /// an owner. Everywhere is among them: its owner is in charge of the engines. Empty if
-    /// the service runs no batches.
+    /// Sets of regions that batches of a service may be restricted to. Each needs an owner.
+    ///
+    /// Includes [`AllowedRegions::everywhere`], whose owner controls the number of engines.
+    /// Empty if the service has no rollout route.
     pub fn batch_regions(&self, service: &ServiceName) -> BTreeSet<AllowedRegions> {
         let mut sets = BTreeSet::new();
         for route in self.rollout_routes(service) {
@@ -254,19 +246,18 @@
         routes.filter(|route| route.routes_to(service) && route.kind == RouteKind::Rollout)
     }
 
-    /// The regions in which requests of a route may be served, for each caller that there
-    /// can be.
+    /// Regions that may serve a route's requests, for each possible caller.
     fn regions_by_caller(&self, route: &Route) -> Vec<AllowedRegions> {
         let own = &route.allowed_regions;
         let Some(tenants) = &self.tenants else {
             return vec![own.clone()];
         };
         let of_tenants = tenants.allowed_regions().map(|regions| own.and(regions));
-        let of_nobody = route.is_public.then(|| own.clone());
-        of_tenants.chain(of_nobody).collect()
+        let without_tenant = route.is_public.then(|| own.clone());
+        of_tenants.chain(without_tenant).collect()
     }
 
-    /// The restrictions that reward calls may bring.
+    /// Sets of regions that routes restrict reward calls to.
     fn reward_regions(&self) -> BTreeSet<&AllowedRegions> {
         let rewards = self
             .routes
@@ -280,18 +271,18 @@
 }
 
 impl Route {
-    /// True if requests of the route may go to a service.
     pub fn routes_to(&self, service: &ServiceName) -> bool {
         self.services.iter().any(|part| part.service == *service)
     }
 
-    /// How urgent a caller's requests are: the rank of a tenant goes before the route's.
+    /// Urgency of a caller's requests. The priority of the tenant, if it has one, takes
+    /// precedence over that of the route.
     pub fn urgency(&self, tenant: Option<&Tenant>) -> Urgency {
-        let rank = tenant.and_then(|tenant| tenant.priority);
-        Urgency::new(rank, self.priority)
+        let tenant_priority = tenant.and_then(|tenant| tenant.priority);
+        Urgency::new(tenant_priority, self.priority)
     }
 
-    /// True if reward calls may go by it: those that are answered at once and as a whole.
+    /// True if reward calls may use the route. They need a single, complete answer.
     pub fn takes_reward_calls(&self) -> bool {
         matches!(self.kind, RouteKind::Idempotent | RouteKind::NonIdempotent)
     }
@@ -304,7 +295,7 @@
         let prefix = &raw.path_prefix;
         ensure!(
             prefix.starts_with('/') && prefix.ends_with('/'),
-            BadPrefixSnafu { route, prefix }
+            InvalidPrefixSnafu { route, prefix }
         );
         let kind = parse_kind(&route, &raw.kind)?;
         let services = weighted_services(&route, &raw)?;
@@ -328,7 +319,7 @@
                 .filter(|seconds| seconds.is_finite() && *seconds >= 0.0)
                 .map_or(DEFAULT_RETENTION, Duration::from_secs_f64),
             is_public: raw.public,
-            allowed_regions: allowed_regions(raw.allowed_regions),
+            allowed_regions: parse_allowed_regions(raw.allowed_regions),
         })
     }
 }
@@ -352,11 +343,11 @@
         .as_ref()
         .filter(|parts| !parts.is_empty())
     {
-        let sound = parts
+        let valid = parts
             .iter()
             .all(|part| part.weight.is_finite() && part.weight >= 0.0);
         let total: f64 = parts.iter().map(|part| part.weight).sum();
-        ensure!(sound && total > 0.0, BadWeightsSnafu { route });
+        ensure!(valid && total > 0.0, InvalidWeightsSnafu { route });
         let weighted = parts.iter().map(|part| WeightedService {
             service: ServiceName::new(part.service.clone()),
             weight: part.weight,
@@ -380,7 +371,7 @@
         });
         Self {
             name: ServiceName::new(raw.name),
-            max_connections: raw.max_conns.unwrap_or(DEFAULT_CONNECTIONS),
+            max_connections: raw.max_conns.unwrap_or(DEFAULT_MAX_CONNECTIONS),
             model,
             scaling: raw.scaling.map(scaling_bounds),
             cold: cold_bounds(raw.cold_s, raw.cold_per_s),
@@ -388,15 +379,15 @@
     }
 }
 
-/// A list that names no region binds to none.
-pub(crate) fn allowed_regions(names: Option<Vec<String>>) -> AllowedRegions {
+/// An empty list allows all regions, as a missing one does.
+pub(crate) fn parse_allowed_regions(names: Option<Vec<String>>) -> AllowedRegions {
     match names.filter(|names| !names.is_empty()) {
         Some(names) => AllowedRegions::only(names.into_iter().map(RegionName::new)),
         None => AllowedRegions::everywhere(),
     }
 }
 
-/// Figures that cannot be used are left out: no time, no bound.
+/// Replaces an invalid duration by zero and an invalid rate by none.
 fn cold_bounds(seconds: Option<f64>, per_second: Option<f64>) -> ColdBounds {
     let cold_duration = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
     ColdBounds {
@@ -405,15 +396,15 @@
     }
 }
 
-/// Figures that cannot be used are left out: a start of no length, a price like the others'.
+/// Replaces an invalid boot time by zero and omits invalid prices.
 fn scaling_bounds(raw: RawScaling) -> ScalingBounds {
     let prices = raw.zone_prices.into_iter();
-    let usable = prices.filter(|(_, price)| price.is_finite() && *price >= 0.0);
+    let valid = prices.filter(|(_, price)| price.is_finite() && *price >= 0.0);
     ScalingBounds {
         least: raw.min,
         most: raw.max.max(raw.min),
         boot_time: Duration::try_from_secs_f64(raw.boot_s).unwrap_or_default(),
-        zone_prices: usable
+        zone_prices: valid
             .map(|(zone, price)| (ZoneName::new(zone), price))
             .collect(),
     }
--- a/crates/sloetrail-routing/src/error.rs
+++ b/crates/sloetrail-routing/src/error.rs
@@ -1,84 +1,53 @@
-//! Why a configuration is refused.
+//! Validation errors of a serving configuration.
 
 use serde_json::error::Category;
 use snafu::Snafu;
 
-/// A configuration that cannot be put in force.
+/// Reason for which a configuration is rejected.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ConfigurationError {
-    /// It is not the JSON that is expected. The parser's own words may quote the text,
-    /// which holds keys, and are left out.
-    #[snafu(display("the configuration cannot be read at line {line}, column {column}: {kind}"))]
+    /// Does not include the parser's message, which may quote API keys.
+    #[snafu(display("invalid configuration at line {line}, column {column}: {reason}"))]
     Unreadable {
-        /// Where, counted from one.
+        /// Counted from one.
         line: usize,
-        /// Where, counted from one.
+        /// Counted from one.
         column: usize,
-        /// Whether its form or its content is wrong.
-        kind: &'static str,
+        reason: &'static str,
     },
-    /// Two tenants have one name.
-    #[snafu(display("two tenants have the name {tenant:?}"))]
-    DuplicateTenant {
-        /// The name.
-        tenant: String,
-    },
-    /// A tenant has no name.
+    #[snafu(display("tenant name {tenant:?} is used more than once"))]
+    DuplicateTenant { tenant: String },
     #[snafu(display("a tenant has an empty name"))]
     UnnamedTenant,
-    /// A key is so short that it can be guessed.
-    #[snafu(display("tenant {tenant:?} has a key of fewer than {least} bytes"))]
-    ShortKey {
-        /// The tenant.
-        tenant: String,
-        /// The least bytes of a key.
-        least: usize,
-    },
-    /// A key of a tenant is also another one's.
-    #[snafu(display("tenant {tenant:?} has a key that is another tenant's too"))]
+    #[snafu(display("tenant {tenant:?} has an API key of fewer than {min_bytes} bytes"))]
+    ShortKey { tenant: String, min_bytes: usize },
+    #[snafu(display("tenant {tenant:?} has an API key that also belongs to another tenant"))]
     DuplicateKey {
-        /// The second one of the two.
+        /// The later of the two tenants.
         tenant: String,
     },
-    /// A route has an unknown kind.
-    #[snafu(display("route {route}: unknown kind {kind:?}"))]
-    UnknownKind {
-        /// The route.
-        route: String,
-        /// The kind as written.
-        kind: String,
-    },
-    /// A route leads nowhere.
-    #[snafu(display("route {route}: it names no service"))]
-    NoService {
-        /// The route.
-        route: String,
-    },
-    /// A route's weight is not a number above or equal to zero, or all are zero.
-    #[snafu(display("route {route}: the weights of its services are not usable"))]
-    BadWeights {
-        /// The route.
-        route: String,
-    },
-    /// A path prefix does not begin and end with a slash.
-    #[snafu(display("route {route}: the prefix {prefix:?} must begin and end with a slash"))]
-    BadPrefix {
-        /// The route.
-        route: String,
-        /// The prefix as written.
-        prefix: String,
-    },
+    #[snafu(display(
+        "route {route}: unknown kind {kind:?}; expected idempotent, non_idempotent, stream or rollout"
+    ))]
+    UnknownKind { route: String, kind: String },
+    #[snafu(display("route {route}: neither service nor weighted_backends is set"))]
+    NoService { route: String },
+    #[snafu(display(
+        "route {route}: weights in weighted_backends must be finite, not negative and not all zero"
+    ))]
+    InvalidWeights { route: String },
+    #[snafu(display("route {route}: path_prefix {prefix:?} must begin and end with a slash"))]
+    InvalidPrefix { route: String, prefix: String },
 }
 
 impl ConfigurationError {
-    /// The error of a text that a parser refused.
     pub(crate) fn unreadable(error: &serde_json::Error) -> Self {
         Self::Unreadable {
             line: error.line(),
             column: error.column(),
-            kind: match error.classify() {
-                Category::Io | Category::Syntax | Category::Eof => "it is no JSON",
+            reason: match error.classify() {
+                Category::Io | Category::Syntax | Category::Eof => "invalid JSON",
                 Category::Data => "a field is missing or has the wrong type",
             },
         }
--- a/crates/sloetrail-routing/src/lib.rs
+++ b/crates/sloetrail-routing/src/lib.rs
@@ -1,12 +1,11 @@
-//! Which service a request goes to.
+//! Serving configuration and request routing.
 //!
-//! A serving configuration arrives as JSON ([`raw`]), is checked into typed routes
-//! and services ([`ServingConfiguration`]) and is then asked, for a host and a
-//! path, for the route ([`RouteTable`]). A route that names several services is
-//! shared out by [`WeightedChoice`]. Where a configuration names tenants, a caller is known
-//! by its key ([`Tenants`]).
+//! A serving configuration is read from JSON ([`raw`]) and validated into typed routes and
+//! services ([`ServingConfiguration`]). [`RouteTable`] finds the route of a host and path.
+//! [`WeightedChoice`] splits the requests of a route among its services. [`Tenants`] maps API
+//! keys to tenants, if the configuration has any.
 //!
-//! Nothing here does I/O or reads a clock.
+//! This crate performs no I/O and reads no clock.
 
 mod configuration;
 mod error;
--- a/crates/sloetrail-routing/src/route_table.rs
+++ b/crates/sloetrail-routing/src/route_table.rs
@@ -1,17 +1,18 @@
-//! The choice of a route by host and path.
+//! Route lookup by host and path.
 
 use crate::Route;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// All routes, by host; within a host the longest prefix goes first.
+/// All routes by host.
+///
+/// Invariant: the routes of a host are sorted by descending length of their prefixes.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     by_host: HashMap<String, Vec<Arc<Route>>>,
 }
 
 impl RouteTable {
-    /// A table of these routes.
     pub fn new(routes: Vec<Arc<Route>>) -> Self {
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
@@ -23,9 +24,8 @@
         Self { by_host }
     }
 
-    /// The route of a host and a path (without a query): of the host's routes the
-    /// one with the longest prefix that begins the path. A port in `host` and its
-    /// case do not matter.
+    /// Finds the host's route with the longest prefix of `path`, which must not include a
+    /// query. Ignores the case of `host` and a port in it.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.split(':').next().unwrap_or(host);
         let routes = self.by_host.get(&name.to_ascii_lowercase())?;
@@ -34,7 +34,7 @@
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Every route, in no particular order.
+    /// Iterates over all routes in unspecified order.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.by_host.values().flatten()
     }
--- a/crates/sloetrail-routing/src/tenants.rs
+++ b/crates/sloetrail-routing/src/tenants.rs
@@ -1,9 +1,9 @@
-//! Tenants and the keys by which their callers are known.
+//! Tenants and the API keys of their callers.
 //!
-//! A key is a secret: [`ApiKey`] does not show it, and no error of this module holds one.
+//! Keys are secrets: the debug form of [`ApiKey`] hides them, and errors do not contain them.
 
 use crate::ConfigurationError;
-use crate::configuration::allowed_regions as regions_named;
+use crate::configuration::parse_allowed_regions;
 use crate::error::{DuplicateKeySnafu, DuplicateTenantSnafu, ShortKeySnafu, UnnamedTenantSnafu};
 use crate::raw::RawTenant;
 use sloetrail_types::{AllowedRegions, TenantName};
@@ -13,14 +13,13 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Shorter keys can be guessed. The operators' have twenty bytes.
-const KEY_BYTES_LEAST: usize = 8;
+/// Shorter keys can be guessed.
+const MIN_KEY_BYTES: usize = 8;
 
-/// A secret by which a caller shows which tenant it belongs to.
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct ApiKey(String);
 
-/// A key is looked up as it was sent, without a copy.
+/// Allows lookup by `&str` without copying the key.
 impl Borrow<str> for ApiKey {
     fn borrow(&self) -> &str {
         &self.0
@@ -33,19 +32,16 @@
     }
 }
 
-/// Who owns the requests that carry one of its keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tenant {
-    /// Its name.
     pub name: TenantName,
-    /// Its rank, which goes before that of the route; zero is the most urgent. Absent
-    /// leaves the rank to the route.
+    /// Takes precedence over the priority of the route; zero is the most urgent.
     pub priority: Option<u8>,
-    /// The regions in which its requests may be served.
+    /// Regions that may serve the tenant's requests.
     pub allowed_regions: AllowedRegions,
 }
 
-/// The tenants of a configuration, by their keys.
+/// Tenants of a configuration by API key.
 ///
 /// Invariant: each key belongs to one tenant.
 #[derive(Clone, Debug, Default)]
@@ -54,11 +50,12 @@
 }
 
 impl Tenants {
-    /// Checks tenants that have been read.
+    /// Validates the tenants of a configuration.
     ///
     /// # Errors
     ///
-    /// If two tenants have one name or one key, a name is empty or a key short.
+    /// Returns an error if a name is empty or used twice, or if a key is too short or belongs
+    /// to two tenants.
     pub(crate) fn check(raw: Vec<RawTenant>) -> Result<Self, ConfigurationError> {
         let mut names = BTreeSet::new();
         let mut by_key: HashMap<ApiKey, Arc<Tenant>> = HashMap::new();
@@ -77,19 +74,19 @@
             let tenant = Arc::new(Tenant {
                 name: TenantName::new(name),
                 priority,
-                allowed_regions: regions_named(allowed_regions),
+                allowed_regions: parse_allowed_regions(allowed_regions),
             });
             for key in api_keys {
-                let (tenant_name, least) = (tenant.name.as_str(), KEY_BYTES_LEAST);
+                let (tenant_name, min_bytes) = (tenant.name.as_str(), MIN_KEY_BYTES);
                 ensure!(
-                    key.len() >= least,
+                    key.len() >= min_bytes,
                     ShortKeySnafu {
                         tenant: tenant_name,
-                        least
+                        min_bytes
                     }
                 );
-                let before = by_key.insert(ApiKey(key), Arc::clone(&tenant));
-                let other = before.filter(|before| before.name != tenant.name);
+                let previous = by_key.insert(ApiKey(key), Arc::clone(&tenant));
+                let other = previous.filter(|previous| previous.name != tenant.name);
                 ensure!(
                     other.is_none(),
                     DuplicateKeySnafu {
@@ -101,20 +98,18 @@
         Ok(Self { by_key })
     }
 
-    /// Each tenant that has a key, by its name.
+    /// Tenants with at least one key, by name.
     pub(crate) fn by_name(&self) -> BTreeMap<&TenantName, &Tenant> {
         let tenants = self.by_key.values();
         tenants.map(|tenant| (&tenant.name, &**tenant)).collect()
     }
 
-    /// The regions in which requests may be served, by tenant; a tenant with several keys
-    /// comes several times.
+    /// Allowed regions of each tenant, repeated for each of its keys.
     pub(crate) fn allowed_regions(&self) -> impl Iterator<Item = &AllowedRegions> {
         let tenants = self.by_key.values();
         tenants.map(|tenant| &tenant.allowed_regions)
     }
 
-    /// The tenant that a key belongs to.
     pub fn find_by_key(&self, key: &str) -> Option<&Arc<Tenant>> {
         self.by_key.get(key)
     }
--- a/crates/sloetrail-routing/src/tests.rs
+++ b/crates/sloetrail-routing/src/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn longest_prefix_of_the_host_wins() {
     let configuration = parse(&json!({
         "version": 3,
         "routes": [route("/a/", "one"), route("/a/b/", "two")],
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn rollout_routes_name_the_services_that_need_an_owner() {
+fn services_of_rollout_routes_need_an_owner() {
     let mut rollout = route("/r/", "models");
     rollout["kind"] = json!("rollout");
     rollout["run_target_ms"] = json!(7500);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn bad_routes_are_refused_with_their_name() {
+fn invalid_routes_are_rejected_with_their_name() {
     let mut unknown_kind = route("/a/", "one");
     unknown_kind["kind"] = json!("sometimes");
     let mut no_service = route("/a/", "one");
@@ -61,17 +61,22 @@
         .as_object_mut()
         .expect("object")
         .remove("service");
-    let mut bad_weights = no_service.clone();
-    bad_weights["weighted_backends"] = json!([{"service": "one", "weight": 0}]);
-    for bad in [unknown_kind, no_service, bad_weights, route("/a", "one")] {
-        let error = parse(&json!({"version": 1, "routes": [bad]})).expect_err("refused");
+    let mut invalid_weights = no_service.clone();
+    invalid_weights["weighted_backends"] = json!([{"service": "one", "weight": 0}]);
+    for invalid in [
+        unknown_kind,
+        no_service,
+        invalid_weights,
+        route("/a", "one"),
+    ] {
+        let error = parse(&json!({"version": 1, "routes": [invalid]})).expect_err("refused");
         assert!(error.to_string().contains("/a"), "{error}");
     }
     assert!(ServingConfiguration::parse(b"{").is_err());
 }
 
 #[test]
-fn shares_are_met_after_few_requests() {
+fn weighted_shares_are_met_after_few_requests() {
     let mut split = route("/a/", "one");
     split["weighted_backends"] =
         json!([{"service": "one", "weight": 90}, {"service": "two", "weight": 10}]);
@@ -90,7 +95,7 @@
 }
 
 #[test]
-fn a_key_leads_to_its_tenant() {
+fn tenant_is_found_by_its_key() {
     let configuration = parse(&json!({"version": 1, "tenants": [
         {"name": "north", "api_keys": ["north-key-1", "north-key-2"], "priority": 1},
         {"name": "south", "api_keys": ["south-key-1"]},
@@ -113,13 +118,13 @@
 }
 
 #[test]
-fn tenants_with_one_name_or_one_key_are_refused() {
-    let twice = |first: Value, second: Value| {
+fn duplicate_tenant_names_and_keys_are_rejected() {
+    let rejected = |first: Value, second: Value| {
         let error = parse(&json!({"version": 1, "tenants": [first, second]}));
         error.expect_err("refused").to_string()
     };
     let key = "secret-key";
-    let by_key = twice(
+    let by_key = rejected(
         json!({"name": "north", "api_keys": [key]}),
         json!({"name": "south", "api_keys": [key]}),
     );
@@ -127,7 +132,7 @@
         by_key.contains("south") && !by_key.contains(key),
         "{by_key}"
     );
-    let by_name = twice(
+    let by_name = rejected(
         json!({"name": "north", "api_keys": []}),
         json!({"name": "north", "api_keys": []}),
     );
@@ -135,25 +140,25 @@
 }
 
 #[test]
-fn no_key_is_in_an_error_or_a_debug_form() {
+fn errors_and_debug_output_contain_no_keys() {
     let key = "secret-key";
-    let unsound = [
+    let invalid = [
         json!({"version": 1, "tenants": [{"name": "north", "api_keys": key}]}),
         json!({"version": 1, "tenants": [{"name": "north", "api_keys": [{key: 1}]}]}),
         json!({"version": 1, "tenants": [{key: "north", "api_keys": []}]}),
         json!({"version": 1, "tenants": key}),
     ];
-    for configuration in &unsound {
+    for configuration in &invalid {
         let error = parse(configuration).expect_err("refused");
         assert!(!format!("{error} {error:?}").contains(key), "{error}");
     }
-    let sound = json!({"version": 1, "tenants": [{"name": "north", "api_keys": [key]}]});
-    let shown = format!("{:?}", parse(&sound).expect("sound"));
+    let valid = json!({"version": 1, "tenants": [{"name": "north", "api_keys": [key]}]});
+    let shown = format!("{:?}", parse(&valid).expect("sound"));
     assert!(shown.contains("north") && !shown.contains(key), "{shown}");
 }
 
 #[test]
-fn bounds_on_the_number_of_back_ends_are_read_with_their_prices() {
+fn scaling_bounds_and_zone_prices_are_parsed() {
     let configuration = parse(&json!({"version": 1, "services": [
         {"name": "models", "scaling": {"min": 1, "max": 24, "boot_s": 4.0, "spot_price": 0.22,
                                        "zone_prices": {"a": 0.85, "b": 1.2}}},
@@ -174,30 +179,30 @@
 }
 
 #[test]
-fn tenants_without_a_name_and_keys_that_can_be_guessed_are_refused() {
-    let refused = |tenant: Value| {
+fn unnamed_tenants_and_short_keys_are_rejected() {
+    let rejected = |tenant: Value| {
         let error = parse(&json!({"version": 1, "tenants": [tenant]}));
         error.expect_err("refused").to_string()
     };
-    let short = refused(json!({"name": "north", "api_keys": ["seven77"]}));
+    let short = rejected(json!({"name": "north", "api_keys": ["seven77"]}));
     assert!(
         short.contains("north") && !short.contains("seven77"),
         "{short}"
     );
-    let empty = refused(json!({"name": "north", "api_keys": [""]}));
+    let empty = rejected(json!({"name": "north", "api_keys": [""]}));
     assert!(empty.contains("north"), "{empty}");
-    let unnamed = refused(json!({"name": "", "api_keys": ["a-good-key"]}));
+    let unnamed = rejected(json!({"name": "", "api_keys": ["a-good-key"]}));
     assert!(unnamed.contains("empty name"), "{unnamed}");
 }
 
 #[test]
-fn regions_of_routes_and_tenants_are_read_and_an_empty_list_binds_to_none() {
-    let mut bound = route("/a/", "one");
-    bound["allowed_regions"] = json!(["north"]);
+fn allowed_regions_are_parsed_and_empty_allows_all() {
+    let mut restricted = route("/a/", "one");
+    restricted["allowed_regions"] = json!(["north"]);
     let mut empty = route("/b/", "one");
     empty["allowed_regions"] = json!([]);
     let configuration = parse(&json!({
-        "version": 1, "routes": [bound, empty, route("/c/", "one")],
+        "version": 1, "routes": [restricted, empty, route("/c/", "one")],
         "tenants": [{"name": "t", "api_keys": ["0123456789"],
                      "allowed_regions": ["north", "south"]}],
     }))
@@ -215,7 +220,7 @@
 }
 
 #[test]
-fn what_cold_back_ends_bear_is_read_and_figures_that_cannot_be_used_are_left_out() {
+fn cold_bounds_are_parsed_and_invalid_values_ignored() {
     let service = |name: &str, cold_s: f64, per_second: f64| json!({"name": name, "cold_s": cold_s, "cold_per_s": per_second});
     let configuration = parse(&json!({
         "version": 1, "routes": [route("/a/", "one")],
@@ -238,7 +243,7 @@
 }
 
 #[test]
-fn each_set_of_regions_that_a_batch_may_be_bound_to_is_known() {
+fn batch_regions_lists_every_possible_restriction() {
     let rollout = |path: &str, regions: Value| {
         let mut route = route(path, "models");
         route["kind"] = json!("rollout");
@@ -257,27 +262,27 @@
         {"name": "u", "api_keys": ["9876543210"], "allowed_regions": ["east"]},
     ]);
     assert_eq!(sets(json!([route("/a/", "models")]), Value::Null), "");
-    let unbound = rollout("/a/", Value::Null);
-    assert_eq!(sets(json!([unbound]), Value::Null), "everywhere");
+    let unrestricted = rollout("/a/", Value::Null);
+    assert_eq!(sets(json!([unrestricted]), Value::Null), "everywhere");
     let north = rollout("/b/", json!(["north"]));
     assert_eq!(
         sets(json!([north]), Value::Null),
         "everywhere north",
-        "somebody is in charge of the engines"
+        "one owner must control the number of engines"
     );
     assert_eq!(
-        sets(json!([unbound]), tenants.clone()),
+        sets(json!([unrestricted]), tenants.clone()),
         "everywhere east north+south"
     );
     assert_eq!(
         sets(json!([north]), tenants.clone()),
         "everywhere north",
-        "no batch can be bound to nowhere"
+        "an empty set of regions needs no owner"
     );
     let mut reward = route("/r/", "scores");
     reward["allowed_regions"] = json!(["south", "west"]);
     assert_eq!(
-        sets(json!([unbound, reward]), tenants),
+        sets(json!([unrestricted, reward]), tenants),
         "everywhere east north+south south"
     );
 }
--- a/crates/sloetrail-routing/src/weighted_choice.rs
+++ b/crates/sloetrail-routing/src/weighted_choice.rs
@@ -1,27 +1,27 @@
-//! Sharing a route's requests among its services.
+//! Weighted split of a route's requests among its services.
 
 use crate::WeightedService;
 
-/// The fractional part of the golden ratio: its multiples fill the unit interval
-/// more evenly than random numbers, so that shares are met after few requests.
+/// Fractional part of the golden ratio. Its multiples cover the unit interval more evenly than
+/// random numbers, so that the shares are met after few requests.
 const GOLDEN_STEP: f64 = 0.618_033_988_749_895;
 
-/// Gives one request after another to a service, by weight.
+/// Assigns successive requests to services in proportion to their weights.
 #[derive(Clone, Debug)]
 pub struct WeightedChoice {
     position: f64,
 }
 
 impl WeightedChoice {
-    /// A choice that starts at `offset` (between zero and one), which differs from
-    /// node to node so that all together meet the shares as well.
+    /// Starts at `offset`, between zero and one. Offsets should differ between nodes, so that
+    /// the nodes also meet the shares in total.
     pub fn new(offset: f64) -> Self {
         Self {
             position: offset.fract().abs(),
         }
     }
 
-    /// The service of the next request; nothing if there is none.
+    /// Returns the service of the next request. None if no service has a positive weight.
     pub fn next<'a>(&mut self, services: &'a [WeightedService]) -> Option<&'a WeightedService> {
         self.position = (self.position + GOLDEN_STEP).fract();
         let total: f64 = services.iter().map(|part| part.weight).sum();
--- a/crates/sloetrail-serving/src/owner/batch_turns.rs
+++ b/crates/sloetrail-serving/src/owner/batch_turns.rs
@@ -69,7 +69,7 @@
     let firsts = rank
         .iter()
         .filter_map(|(tenant, of_tenant)| Some((tenant, of_tenant.front()?)));
-    let next = firsts.min_by_key(|(tenant, first)| (shares.turn(tenant), *first));
+    let next = firsts.min_by_key(|(tenant, first)| (shares.order_of(tenant), *first));
     next.map(|(tenant, first)| (tenant, &first.id))
 }
 
