--- a/crates/sloetrail-serving/src/batch_rows.rs
+++ b/crates/sloetrail-serving/src/batch_rows.rs
@@ -80,7 +80,7 @@
 
 /// What earlier owners have kept of the items of a batch that are not listed.
 #[derive(Debug, Default)]
-pub struct KeptWork {
+pub struct CheckpointedWork {
     /// The texts that were being made, with their generations.
     pub texts: BTreeMap<ItemIndex, (u32, Transcript)>,
     /// How many runs have failed of each item of which some have.
@@ -88,7 +88,10 @@
 }
 
 /// Reads what earlier owners have kept of the items of a batch that are not listed.
-pub async fn read_kept_work(table: &dyn Table, id: &str) -> Result<KeptWork, ReadError> {
+pub async fn read_checkpointed_work(
+    table: &dyn Table,
+    id: &str,
+) -> Result<CheckpointedWork, ReadError> {
     let page = scan_all(table, rows::checkpoints(id)).await?;
     let mut failed_runs = BTreeMap::new();
     let mut pieces = Vec::new();
@@ -102,7 +105,7 @@
             None => pieces.extend(Checkpoint::from_stored(&row.value)),
         }
     }
-    Ok(KeptWork {
+    Ok(CheckpointedWork {
         texts: join_checkpoints(pieces),
         failed_runs,
     })
--- a/crates/sloetrail-serving/src/owner/event.rs
+++ b/crates/sloetrail-serving/src/owner/event.rs
@@ -40,7 +40,7 @@
     /// The window for orders was opened, or could not be.
     WindowAnswered(OrderWindow),
     /// An order was given, or could not be.
-    OrderEnded(OrderEnd),
+    OrderEnded(WeightOrderOutcome),
     /// How many engines there were before any were ordered; nothing if the table did not
     /// tell.
     FloorRead(Option<usize>),
@@ -69,7 +69,7 @@
 
 /// What became of an order.
 #[derive(Clone, Debug)]
-pub(super) struct OrderEnd {
+pub(super) struct WeightOrderOutcome {
     pub(super) order: PlannedOrder,
     /// What the engine said of itself before; nothing if it did not answer.
     pub(super) status: Option<EngineStatus>,
--- a/crates/sloetrail-serving/src/owner/loading.rs
+++ b/crates/sloetrail-serving/src/owner/loading.rs
@@ -1,6 +1,6 @@
 //! Loading an open batch from the table.
 
-use crate::batch_rows::{KeptWork, read_kept_work, read_results, read_submission};
+use crate::batch_rows::{CheckpointedWork, read_checkpointed_work, read_results, read_submission};
 use crate::context::NodeContext;
 use crate::table::{ReadError, Table};
 use sloetrail_batch::{
@@ -101,7 +101,7 @@
             }
         }
     }
-    let KeptWork { texts, failed_runs } = read_kept_work(table, &id).await?;
+    let CheckpointedWork { texts, failed_runs } = read_checkpointed_work(table, &id).await?;
     for (index, (generation, transcript)) in texts {
         if !is_open(batch, index) {
             continue;
--- a/crates/sloetrail-serving/src/owner/mod.rs
+++ b/crates/sloetrail-serving/src/owner/mod.rs
@@ -36,14 +36,14 @@
 use std::sync::Arc;
 
 /// What the holder of the lease of batches does: it owns them.
-pub(crate) struct BatchesWork {
+pub(crate) struct BatchOwnerTask {
     /// The node's parts.
     pub(crate) context: Arc<NodeContext>,
     /// The batches.
     pub(crate) set: BatchSet,
 }
 
-impl TermWork for BatchesWork {
+impl TermWork for BatchOwnerTask {
     fn run(&self, term: Term) -> BoxFuture<'static, ()> {
         let owner = ServiceOwner::new(Arc::clone(&self.context), self.set.clone(), term);
         Box::pin(owner.run())
--- a/crates/sloetrail-serving/src/owner/service_owner/versions.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/versions.rs
@@ -5,7 +5,7 @@
 use crate::leases::OrderWindow;
 use crate::owner::assignment::ModelShare;
 use crate::owner::engine::VersionChangeUnderWay;
-use crate::owner::event::{OrderEnd, OwnerEvent};
+use crate::owner::event::{OwnerEvent, WeightOrderOutcome};
 use crate::owner::rollout_plan::{ModelTarget, concurrent_changes, plan};
 use crate::owner::weights::OrderTask;
 use sloetrail_batch::{Batch, BatchHeader};
@@ -211,7 +211,7 @@
         }
     }
 
-    pub(super) fn order_ended(&mut self, end: OrderEnd) {
+    pub(super) fn order_ended(&mut self, end: WeightOrderOutcome) {
         let now = BootInstant::now();
         let Some(engine) = self.engines.get_mut(&end.order.engine) else {
             return;
--- a/crates/sloetrail-serving/src/owner/weights.rs
+++ b/crates/sloetrail-serving/src/owner/weights.rs
@@ -3,7 +3,7 @@
 //! An engine is asked for its status, then ordered under the count of orders that it
 //! has taken: an order that arrives late, after others, is refused by that count.
 
-use super::event::{OrderEnd, OwnerEvent, PlannedOrder};
+use super::event::{OwnerEvent, PlannedOrder, WeightOrderOutcome};
 use crate::back_end::{BackEnd, EngineStatus, OrderAnswer, VersionChange, VersionOrder};
 use crate::context::NodeContext;
 use crate::dialect::EngineCall;
@@ -43,7 +43,7 @@
             _ => None,
         };
         let order = self.order.clone();
-        let end = OrderEnd {
+        let end = WeightOrderOutcome {
             order,
             status,
             answer,
--- a/crates/sloetrail-serving/src/supervisor.rs
+++ b/crates/sloetrail-serving/src/supervisor.rs
@@ -3,7 +3,7 @@
 use crate::context::NodeContext;
 use crate::events::{self, Event};
 use crate::leases::{BatchSet, LeaseKeeper, LeaseSubject, TermWork};
-use crate::owner::BatchesWork;
+use crate::owner::BatchOwnerTask;
 use crate::usage::UsageWork;
 use sloetrail_routing::ServingConfiguration;
 use std::collections::{BTreeSet, HashMap};
@@ -45,7 +45,7 @@
             let subject = LeaseSubject::Batches(set.clone());
             keepers.entry(subject.clone()).or_insert_with(|| {
                 let context = Arc::clone(&context);
-                start(subject, Arc::new(BatchesWork { context, set }))
+                start(subject, Arc::new(BatchOwnerTask { context, set }))
             });
         }
         tokio::select! {
