--- a/crates/sloetrail-serving/src/batch_rows.rs
+++ b/crates/sloetrail-serving/src/batch_rows.rs
@@ -61,7 +61,7 @@
     while page.more {
         // A page may end within a result; the next one is read as well until a
         // result is whole.
-        if let Some(results) = whole_results(&page.rows, true) {
+        if let Some(results) = join_results(&page.rows, true) {
             return Ok(results);
         }
         let Some(last) = page.rows.last() else {
@@ -75,7 +75,7 @@
         page.rows.extend(more.rows);
         page.more = more.more;
     }
-    Ok(whole_results(&page.rows, false).unwrap_or_default())
+    Ok(join_results(&page.rows, false).unwrap_or_default())
 }
 
 /// What earlier owners have kept of the items of a batch that are not listed.
@@ -113,7 +113,7 @@
 
 /// Joins the rows of each position. With `is_cut` the last position may not be
 /// whole and is left out; nothing if no whole one remains.
-fn whole_results(rows: &[Row], is_cut: bool) -> Option<Vec<ListedResult>> {
+fn join_results(rows: &[Row], is_cut: bool) -> Option<Vec<ListedResult>> {
     let mut joined: Vec<(usize, BytesMut)> = Vec::new();
     for row in rows {
         let position = rows::position_of(&row.address.key)?;
--- a/crates/sloetrail-serving/src/owner/event.rs
+++ b/crates/sloetrail-serving/src/owner/event.rs
@@ -14,7 +14,7 @@
 /// What happens to an owner.
 pub(super) enum OwnerEvent {
     /// A batch has been loaded, or could not be.
-    Loaded(BatchId, Box<Option<LoadedBatch>>),
+    BatchLoaded(BatchId, Box<Option<LoadedBatch>>),
     /// A run of an item has ended.
     RunEnded {
         /// The batch.
@@ -32,22 +32,22 @@
     },
     /// The table was asked for a trial of an item that is kept from engines; its passage is
     /// on trial if it may be tried.
-    TrialAnswered((BatchId, ItemIndex), Box<Passage>),
+    TrialDecided((BatchId, ItemIndex), Box<Passage>),
     /// A try to score a text has ended.
     RewardEnded(Scoring, RewardOutcome),
     /// A result was committed.
     Committed(Committed),
     /// The window for orders was opened, or could not be.
-    WindowAnswered(OrderWindow),
+    WindowOpenEnded(OrderWindow),
     /// An order was given, or could not be.
     OrderEnded(WeightOrderOutcome),
     /// How many engines there were before any were ordered; nothing if the table did not
     /// tell.
-    FloorRead(Option<usize>),
+    BaselineRead(Option<usize>),
     /// The number of engines was ordered, or could not be.
-    SupplyAnswered(SupplyAnswered),
+    SupplyOrdersEnded(SupplyOrdersOutcome),
     /// What the batches take of the engines was written down, or could not be.
-    DemandWritten(DemandWritten),
+    DemandWritten(DemandWriteOutcome),
 }
 
 /// A result that was committed.
@@ -79,14 +79,14 @@
 
 /// What became of orders for numbers of engines that were given together.
 #[derive(Debug)]
-pub(super) struct SupplyAnswered {
+pub(super) struct SupplyOrdersOutcome {
     /// A later holder has given orders already.
     pub(super) fenced: bool,
 }
 
 /// What became of a row that tells what the batches take of the engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum DemandWritten {
+pub(super) enum DemandWriteOutcome {
     /// It is in the table.
     Done,
     /// It may not be.
@@ -95,13 +95,13 @@
     Fenced,
 }
 
-impl DemandWritten {
+impl DemandWriteOutcome {
     /// A word for logs.
-    pub(super) fn word(self) -> &'static str {
+    pub(super) fn as_str(self) -> &'static str {
         match self {
-            DemandWritten::Done => "written",
-            DemandWritten::Unknown => "no answer",
-            DemandWritten::Fenced => "fenced",
+            DemandWriteOutcome::Done => "written",
+            DemandWriteOutcome::Unknown => "no answer",
+            DemandWriteOutcome::Fenced => "fenced",
         }
     }
 }
--- a/crates/sloetrail-serving/src/owner/item_story.rs
+++ b/crates/sloetrail-serving/src/owner/item_timeline.rs
@@ -5,13 +5,13 @@
 
 /// The times of one item under one owner.
 #[derive(Clone, Debug, Default)]
-pub(super) struct ItemStory {
-    first_started: Option<BootInstant>,
+pub(super) struct ItemTimeline {
+    first_run_at: Option<BootInstant>,
     pub(super) runs: usize,
     running: Duration,
     /// Events that its runs have made, those made again included.
-    pub(super) events_made: usize,
-    whole_at: Option<BootInstant>,
+    pub(super) generated_events: usize,
+    text_completed_at: Option<BootInstant>,
     scored_at: Option<BootInstant>,
 }
 
@@ -31,22 +31,22 @@
     pub(super) committing: Duration,
 }
 
-impl ItemStory {
+impl ItemTimeline {
     /// A run has begun.
-    pub(super) fn started(&mut self, now: BootInstant) {
-        self.first_started.get_or_insert(now);
+    pub(super) fn run_started(&mut self, now: BootInstant) {
+        self.first_run_at.get_or_insert(now);
         self.runs += 1;
     }
 
     /// A run has ended that took this long and made so many events.
     pub(super) fn run_ended(&mut self, took: Duration, events: usize) {
         self.running += took;
-        self.events_made += events;
+        self.generated_events += events;
     }
 
     /// The text is whole.
-    pub(super) fn text_is_whole(&mut self, now: BootInstant) {
-        self.whole_at = Some(now);
+    pub(super) fn text_completed(&mut self, now: BootInstant) {
+        self.text_completed_at = Some(now);
     }
 
     /// The result has gone to be committed.
@@ -56,16 +56,16 @@
 
     /// Where the time went, if the batch was opened then and the item is listed now.
     pub(super) fn times(&self, opened: BootInstant, listed: BootInstant) -> ItemTimes {
-        let first = self.first_started.unwrap_or(listed);
+        let first = self.first_run_at.unwrap_or(listed);
         let scored = self.scored_at.unwrap_or(listed);
-        let whole = self.whole_at.unwrap_or(scored);
-        let at_engines = whole.saturating_duration_since(first);
+        let completed = self.text_completed_at.unwrap_or(scored);
+        let at_engines = completed.saturating_duration_since(first);
         let running = self.running.min(at_engines);
         ItemTimes {
             waiting: first.saturating_duration_since(opened),
             running,
             between_runs: at_engines - running,
-            scoring: scored.saturating_duration_since(whole),
+            scoring: scored.saturating_duration_since(completed),
             committing: listed.saturating_duration_since(scored),
         }
     }
--- a/crates/sloetrail-serving/src/owner/mod.rs
+++ b/crates/sloetrail-serving/src/owner/mod.rs
@@ -15,7 +15,7 @@
 mod engine_sends;
 mod engines;
 mod event;
-mod item_story;
+mod item_timeline;
 mod loading;
 mod pace;
 mod place_demand;
--- a/crates/sloetrail-serving/src/owner/service_owner.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner.rs
@@ -3,8 +3,8 @@
 mod batches;
 mod demand;
 mod dispatch;
-mod kept_back;
 mod other_batches;
+mod quarantined_items;
 mod relocation;
 mod results;
 mod scoring;
@@ -12,14 +12,14 @@
 mod texts;
 mod versions;
 
-use self::kept_back::KeptBack;
 use self::other_batches::OtherBatches;
+use self::quarantined_items::QuarantinedItems;
 use self::supply::SupplyState;
 use super::committer::{CommitRequest, commit_results};
 use super::engine::Sparing;
 use super::engines::EnginePool;
 use super::event::OwnerEvent;
-use super::item_story::ItemStory;
+use super::item_timeline::ItemTimeline;
 use super::place_demand::DemandReporter;
 use super::place_usage::{OpenItems, PlaceUsage};
 use super::publications::Publications;
@@ -42,74 +42,74 @@
 use tokio_util::sync::CancellationToken;
 
 const TICK: Duration = Duration::from_millis(100);
-const FOLLOW_PAUSE: Duration = Duration::from_millis(5);
+const VIEW_POLL_DELAY: Duration = Duration::from_millis(5);
 const SWEEP_PERIOD: Duration = Duration::from_secs(5);
 /// How often the texts that are being made are kept in the table.
-const KEEP_PERIOD: Duration = Duration::from_millis(500);
+const CHECKPOINT_INTERVAL: Duration = Duration::from_millis(500);
 /// Texts are not kept while the table is slower than this: results go first.
-const KEEP_TABLE_TIME: Duration = Duration::from_millis(100);
+const MAX_CHECKPOINT_TABLE_LATENCY: Duration = Duration::from_millis(100);
 
-/// A model's places are plentiful while its open items would take this part of them at most:
+/// A model's slots are plentiful while its open items would take this part of them at most:
 /// half of its engines may be changing their weights.
-const PLENTIFUL_FACTOR: usize = 2;
+const MIN_PLENTIFUL_SLOTS_PER_ITEM: usize = 2;
 
 /// Places at engines that an owner holds for each item that runs at a time. Half of a model's
 /// engines change their weights while its items run at the others. Where the directory is held
 /// whole there are no more to be had.
-const PLACES_FOR_ITEM: usize = 2;
+const SLOTS_PER_ITEM: usize = 2;
 
 struct ActiveRun {
     engine: EngineId,
     cancel: CancellationToken,
     progress: Arc<RunProgress>,
     /// Events of the text that the table holds, or is about to hold.
-    kept: usize,
-    began: BootInstant,
+    checkpointed_events: usize,
+    started_at: BootInstant,
     /// True if the item came here from a slower engine.
     has_moved: bool,
     /// The engine that the item goes on at once this run has been closed.
-    moves_to: Option<EngineId>,
+    move_target: Option<EngineId>,
 }
 
 struct OpenBatch {
     batch: Batch,
     runs: HashMap<ItemIndex, ActiveRun>,
-    outlook: BatchOutlook,
+    estimate: BatchOutlook,
     /// Events of the text of an item that the table holds, once one of its runs ended.
-    kept: HashMap<ItemIndex, usize>,
+    checkpointed_events: HashMap<ItemIndex, usize>,
     cancel: CancellationToken,
     opened_at: BootInstant,
     /// The age of the batch when this owner opened it.
-    opened_age: Duration,
-    stories: HashMap<ItemIndex, ItemStory>,
+    age_at_open: Duration,
+    timelines: HashMap<ItemIndex, ItemTimeline>,
 }
 
 impl OpenBatch {
     fn age(&self) -> Duration {
-        self.opened_age + self.opened_at.elapsed()
+        self.age_at_open + self.opened_at.elapsed()
     }
 
     /// Looks again at what is expected of the items.
-    fn look_ahead(&mut self, lengths: &LengthModel) {
+    fn update_estimate(&mut self, lengths: &LengthModel) {
         let runs = &self.runs;
         let made = |index| {
             let run: Option<&ActiveRun> = runs.get(&index);
             run.map_or(0, |run| run.progress.events())
         };
-        self.outlook = self.batch.outlook(lengths, self.age(), made);
+        self.estimate = self.batch.outlook(lengths, self.age(), made);
     }
 
     fn items(&self) -> OpenItems {
         let all = self.batch.waiting() + self.runs.len();
         OpenItems {
             all,
-            at_a_time: self.outlook.width.map_or(all, |width| width.min(all)),
+            at_a_time: self.estimate.width.map_or(all, |width| width.min(all)),
         }
     }
 
     /// True if as many items run as are worth running at a time.
-    fn is_wide_enough(&self) -> bool {
-        self.outlook
+    fn has_enough_runs(&self) -> bool {
+        self.estimate
             .width
             .is_some_and(|width| self.runs.len() >= width)
     }
@@ -127,26 +127,26 @@
     /// What tenants have under way at the engines, brought up to date before items start.
     shares: TenantShares,
     /// Batches that are open, being loaded, ended or unusable.
-    known: HashSet<BatchId>,
+    known_batches: HashSet<BatchId>,
     /// Those of other owners of the service.
-    others: OtherBatches,
+    other_batches: OtherBatches,
     /// Items that ended batches left over, with the text kept.
-    carried: BTreeMap<ItemId, Transcript>,
+    leftover_texts: BTreeMap<ItemId, Transcript>,
     /// By model, how many versions behind the newest one its last batch allows.
-    lags: BTreeMap<String, u64>,
+    version_lags: BTreeMap<String, u64>,
     /// Whole texts that are to be scored.
     rewards: RewardQueue,
     usage: PlaceUsage,
     lengths: LengthModel,
     /// Items under which engines crash.
-    kept_back: KeptBack,
+    quarantined: QuarantinedItems,
     publications: Publications,
     /// By model, the work of its last batch in expected tokens.
-    work: BTreeMap<String, f64>,
+    expected_tokens: BTreeMap<String, f64>,
     /// True if something has changed that orders to engines depend on.
     weights_due: bool,
     window: OrderWindow,
-    window_is_opening: bool,
+    is_opening_window: bool,
     supply: SupplyState,
     /// What the batches take of the engines, if another owner orders these.
     demand: DemandReporter,
@@ -154,11 +154,11 @@
     sender: mpsc::UnboundedSender<OwnerEvent>,
     commits: mpsc::UnboundedSender<CommitRequest>,
     committing: JoinHandle<()>,
-    kept_at: BootInstant,
+    checkpointed_at: BootInstant,
 }
 
 /// Waits until texts may be scored again that rest now.
-async fn scores_due(due: Option<BootInstant>) {
+async fn sleep_until_due(due: Option<BootInstant>) {
     match due {
         Some(due) => sloetrail_clock::sleep_until(due).await,
         None => std::future::pending().await,
@@ -173,7 +173,7 @@
             commit_results(Arc::clone(&context), term.clone(), requests, sender.clone());
         Self {
             committing: tokio::spawn(committing),
-            kept_at: BootInstant::now(),
+            checkpointed_at: BootInstant::now(),
             engines: EnginePool::within(context.settings.topology.clone(), set.regions().clone()),
             context,
             service: set.service().clone(),
@@ -181,19 +181,19 @@
             term,
             batches: BTreeMap::new(),
             shares: TenantShares::default(),
-            known: HashSet::new(),
-            others: OtherBatches::default(),
-            carried: BTreeMap::new(),
-            lags: BTreeMap::new(),
+            known_batches: HashSet::new(),
+            other_batches: OtherBatches::default(),
+            leftover_texts: BTreeMap::new(),
+            version_lags: BTreeMap::new(),
             rewards: RewardQueue::default(),
             usage: PlaceUsage::default(),
             lengths: LengthModel::default(),
-            kept_back: KeptBack::default(),
+            quarantined: QuarantinedItems::default(),
             publications: Publications::default(),
-            work: BTreeMap::new(),
+            expected_tokens: BTreeMap::new(),
             weights_due: true,
             window: OrderWindow::default(),
-            window_is_opening: false,
+            is_opening_window: false,
             supply: SupplyState::default(),
             demand: DemandReporter::new(BootInstant::now()),
             events,
@@ -216,32 +216,32 @@
         loop {
             tokio::select! {
                 () = self.term.ended.cancelled() => break,
-                () = self.term.releasing.cancelled() => return self.put_down().await,
+                () = self.term.releasing.cancelled() => return self.hand_over().await,
                 Some(event) = self.events.recv() => {
-                    self.take(event);
+                    self.handle_event(event);
                     while let Ok(event) = self.events.try_recv() {
-                        self.take(event);
+                        self.handle_event(event);
                     }
                 }
-                Ok(()) = directory.changed() => self.take_directory(),
+                Ok(()) = directory.changed() => self.apply_directory(),
                 Ok(()) = in_force.changed() => {
                     in_force.mark_unchanged();
-                    self.spare_engines();
+                    self.refresh_send_limits();
                     self.assign_models();
                 }
                 Ok(()) = leased_sets.changed() => {
                     leased_sets.mark_unchanged();
-                    self.spare_engines();
+                    self.refresh_send_limits();
                 }
-                Ok(()) = batches.changed() => self.take_batches(&mut batches, &mut ends),
-                Ok(()) = ends.changed() => self.take_batches(&mut batches, &mut ends),
+                Ok(()) = batches.changed() => self.apply_batches(&mut batches, &mut ends),
+                Ok(()) = ends.changed() => self.apply_batches(&mut batches, &mut ends),
                 _ = tick.tick() => self.on_tick(),
-                () = scores_due(self.rewards.next_due(BootInstant::now())) => {}
+                () = sleep_until_due(self.rewards.next_due(BootInstant::now())) => {}
             }
-            self.fill();
-            self.score_texts();
+            self.dispatch_items();
+            self.start_scorings();
             if std::mem::take(&mut self.weights_due) {
-                self.drive_weights();
+                self.order_weight_changes();
             }
             if swept_at.elapsed() > SWEEP_PERIOD {
                 swept_at = BootInstant::now();
@@ -265,9 +265,9 @@
 
     /// Keeps every text as far as it has come and ends the runs, so that the next
     /// owner goes on from there.
-    async fn put_down(mut self) {
+    async fn hand_over(mut self) {
         self.cancel_runs();
-        self.keep_texts();
+        self.checkpoint_texts();
         drop(self.commits);
         // The keeper bounds the time; a term that is lost has nothing to commit.
         let _ = self.committing.await;
@@ -279,19 +279,19 @@
             source,
             table,
             rows::CALLERS,
-            FollowPace::with_pause(FOLLOW_PAUSE),
+            FollowPace::with_pause(VIEW_POLL_DELAY),
         )
     }
 
-    fn take_directory(&mut self) {
+    fn apply_directory(&mut self) {
         let directory = self.context.directory.borrow().clone();
         self.engines.take_directory(&directory, &self.service);
-        self.spare_engines();
+        self.refresh_send_limits();
         self.assign_models();
     }
 
     /// Takes in which engines are cold or lie in an evacuated zone.
-    fn spare_engines(&mut self) {
+    fn refresh_send_limits(&mut self) {
         let directory = self.context.directory.borrow().clone();
         let in_force = self.context.in_force.borrow().clone();
         let Some(configuration) = &in_force.configuration else {
@@ -328,9 +328,9 @@
         model.map(|model| model.models.clone()).unwrap_or_default()
     }
 
-    fn take(&mut self, event: OwnerEvent) {
+    fn handle_event(&mut self, event: OwnerEvent) {
         match event {
-            OwnerEvent::Loaded(id, loaded) => self.open(id, *loaded),
+            OwnerEvent::BatchLoaded(id, loaded) => self.open_batch(id, *loaded),
             OwnerEvent::RunEnded {
                 batch,
                 index,
@@ -339,13 +339,13 @@
                 transcript,
                 took,
             } => self.run_ended(&batch, index, &engine, (outcome, transcript), took),
-            OwnerEvent::TrialAnswered(place, passage) => self.trial_answered(place, *passage),
+            OwnerEvent::TrialDecided(item, permit) => self.trial_decided(item, *permit),
             OwnerEvent::RewardEnded(scoring, outcome) => self.reward_ended(scoring, outcome),
             OwnerEvent::Committed(committed) => self.committed(committed),
-            OwnerEvent::WindowAnswered(window) => self.window_answered(window),
-            OwnerEvent::FloorRead(floor) => self.floor_read(floor),
-            OwnerEvent::SupplyAnswered(answer) => self.supply_answered(answer),
-            OwnerEvent::DemandWritten(written) => self.demand_written(written),
+            OwnerEvent::WindowOpenEnded(window) => self.window_open_ended(window),
+            OwnerEvent::BaselineRead(baseline) => self.baseline_read(baseline),
+            OwnerEvent::SupplyOrdersEnded(outcome) => self.supply_orders_ended(outcome),
+            OwnerEvent::DemandWritten(outcome) => self.demand_written(outcome),
             OwnerEvent::OrderEnded(end) => {
                 self.weights_due = true;
                 self.order_ended(end);
@@ -359,38 +359,38 @@
         for (_, engine) in self.engines.iter_mut() {
             engine.expire_change(now);
         }
-        self.note_versions_of_runs();
-        self.note_usage();
-        self.order_items();
-        self.look_ahead();
+        self.record_run_versions();
+        self.record_slot_usage();
+        self.set_dispatch_orders();
+        self.update_estimates();
         let slow_apart = self.context.settings.policies.slow_engines_apart;
         if slow_apart && self.engines.judge_paces() {
             self.assign_models();
         }
         self.move_from_slow_engines(now);
         self.move_long_texts(now);
-        self.look_at_kept_back();
+        self.release_quarantined_items();
         self.expire_items();
-        self.drop_scored();
-        self.tell_items();
-        self.drive_supply();
-        self.tell_demand();
-        let is_fast = self.context.table.ordinary_time() < KEEP_TABLE_TIME;
-        if is_fast && now.saturating_duration_since(self.kept_at) >= KEEP_PERIOD {
-            self.kept_at = now;
-            self.keep_texts();
+        self.drop_unneeded_scorings();
+        self.report_item_counts();
+        self.scale_engines();
+        self.report_demand();
+        let is_fast = self.context.table.ordinary_time() < MAX_CHECKPOINT_TABLE_LATENCY;
+        if is_fast && now.saturating_duration_since(self.checkpointed_at) >= CHECKPOINT_INTERVAL {
+            self.checkpointed_at = now;
+            self.checkpoint_texts();
         }
     }
 
-    fn note_usage(&mut self) {
+    fn record_slot_usage(&mut self) {
         let now_ms = self.context.table.now_ms().unwrap_or_default();
         let mut at_a_time = 0;
         for model in self.models() {
             let open = self.batches.values();
             let of_model = open.filter(|open| open.batch.model.as_ref() == Some(&model));
             let mut items = OpenItems {
-                all: self.others.items(&model, now_ms),
-                at_a_time: self.others.items(&model, now_ms),
+                all: self.other_batches.items(&model, now_ms),
+                at_a_time: self.other_batches.items(&model, now_ms),
             };
             for open in of_model {
                 let of_batch = open.items();
@@ -398,19 +398,19 @@
                 items.at_a_time += of_batch.at_a_time;
             }
             at_a_time += items.at_a_time;
-            let places = self.engines.places_of(&model);
-            self.usage.note(&model, items, places);
+            let slots = self.engines.places_of(&model);
+            self.usage.note(&model, items, slots);
         }
-        let enough = at_a_time * PLACES_FOR_ITEM;
+        let enough = at_a_time * SLOTS_PER_ITEM;
         if !self.engines.has_places(enough, BootInstant::now()) {
             self.context.directory_interest.want_more();
         }
     }
 
     /// Finds out how many items of each batch are worth running at a time, and which decide
-    /// when it is done. Where places are not plentiful, none is left free on purpose, and each
+    /// when it is done. Where slots are not plentiful, none is left free on purpose, and each
     /// item goes to the fastest engine: it is work that ends a step there, not its longest text.
-    fn look_ahead(&mut self) {
+    fn update_estimates(&mut self) {
         if !self.context.settings.policies.bounded_batch_width {
             return;
         }
@@ -420,20 +420,20 @@
         }
         let engines = &self.engines;
         let is_plentiful = |(model, items): (&Option<String>, &usize)| {
-            let places = model.as_deref().map_or(0, |model| engines.places_of(model));
-            (model.clone(), items * PLENTIFUL_FACTOR <= places)
+            let slots = model.as_deref().map_or(0, |model| engines.places_of(model));
+            (model.clone(), items * MIN_PLENTIFUL_SLOTS_PER_ITEM <= slots)
         };
         let plentiful: BTreeMap<Option<String>, bool> = items.iter().map(is_plentiful).collect();
         for open in self.batches.values_mut() {
             match plentiful.get(&open.batch.model) {
-                Some(true) => open.look_ahead(&self.lengths),
-                Some(false) | None => open.outlook = BatchOutlook::default(),
+                Some(true) => open.update_estimate(&self.lengths),
+                Some(false) | None => open.estimate = BatchOutlook::default(),
             }
         }
     }
 
-    /// Has the items go to engines in the order that fits how scarce places are.
-    fn order_items(&mut self) {
+    /// Has the items go to engines in the order that fits how scarce slots are.
+    fn set_dispatch_orders(&mut self) {
         let policies = self.context.settings.policies;
         for open in self.batches.values_mut() {
             let is_scarce = self.usage.is_scarce(open.batch.model.as_deref());
--- a/crates/sloetrail-serving/src/owner/service_owner/batches.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/batches.rs
@@ -17,11 +17,11 @@
 /// An item is given up only this much after its retention.
 const RETENTION_MARGIN_MS: u64 = 2_000;
 /// Items that ended batches left over and that may come again.
-const CARRIED_LIMIT: usize = 20_000;
+const MAX_LEFTOVER_TEXTS: usize = 20_000;
 
 impl ServiceOwner {
     /// Takes in the heads of batches and the marks of ended ones.
-    pub(super) fn take_batches(&mut self, batches: &mut ViewReceiver, ends: &mut ViewReceiver) {
+    pub(super) fn apply_batches(&mut self, batches: &mut ViewReceiver, ends: &mut ViewReceiver) {
         let batches = batches.borrow_and_update().clone();
         let ends = ends.borrow_and_update().clone();
         if batches.confirmed_at.is_none() || ends.confirmed_at.is_none() {
@@ -34,17 +34,17 @@
             .cloned()
             .collect();
         for id in ended {
-            self.close(&id);
+            self.close_batch(&id);
         }
         for (id, row) in &batches.rows {
-            if self.known.contains(id) {
+            if self.known_batches.contains(id) {
                 continue;
             }
             let header = decode_header(&row.value);
             let Some(header) = header.filter(|header| header.service == self.service) else {
                 continue;
             };
-            self.known.insert(id.clone());
+            self.known_batches.insert(id.clone());
             if ends.rows.contains_key(id) {
                 continue;
             }
@@ -53,45 +53,45 @@
                 false => BatchOrigin::EarlierTerm,
             };
             match self.set.holds(&header) {
-                true => self.begin_loading(BatchToLoad {
+                true => self.start_loading(BatchToLoad {
                     id: id.clone(),
                     header,
                     origin,
                 }),
-                false => self.note_other(id.clone(), header),
+                false => self.record_other_batch(id.clone(), header),
             }
         }
-        self.others
+        self.other_batches
             .retain(|id| batches.rows.contains_key(id) && !ends.rows.contains_key(id));
     }
 
     /// A batch that another owner of the service runs counts for the engines' weights.
-    fn note_other(&mut self, id: BatchId, header: BatchHeader) {
+    fn record_other_batch(&mut self, id: BatchId, header: BatchHeader) {
         if !self.set.is_in_charge_of_engines() {
             return;
         }
         if let Some(model) = &header.model {
-            self.note_demand(model, header.oldest_version, &header);
+            self.record_version_demand(model, header.oldest_version, &header);
         }
-        self.others.insert(id, header);
+        self.other_batches.insert(id, header);
     }
 
-    fn begin_loading(&self, wanted: BatchToLoad) {
+    fn start_loading(&self, to_load: BatchToLoad) {
         let context = Arc::clone(&self.context);
-        let carried: BTreeSet<ItemId> = self.carried.keys().cloned().collect();
+        let leftover_ids: BTreeSet<ItemId> = self.leftover_texts.keys().cloned().collect();
         let ended = self.term.ended.clone();
         let sender = self.sender.clone();
         tokio::spawn(async move {
-            let loaded = load(&context, &wanted, &carried, &ended).await;
+            let loaded = load(&context, &to_load, &leftover_ids, &ended).await;
             // The owner may be gone; then nobody needs it.
-            let _ = sender.send(OwnerEvent::Loaded(wanted.id, Box::new(loaded)));
+            let _ = sender.send(OwnerEvent::BatchLoaded(to_load.id, Box::new(loaded)));
         });
     }
 
-    pub(super) fn open(&mut self, id: BatchId, loaded: Option<LoadedBatch>) {
+    pub(super) fn open_batch(&mut self, id: BatchId, loaded: Option<LoadedBatch>) {
         let Some(LoadedBatch { mut batch, listed }) = loaded else {
             // Its parts may still be on their way; the next change looks again.
-            self.known.remove(&id);
+            self.known_batches.remove(&id);
             return;
         };
         let now_ms = self.context.table.now_ms().unwrap_or_default();
@@ -106,9 +106,9 @@
         });
         let is_scarce = self.usage.is_scarce(batch.model.as_deref());
         batch.set_order(self.context.settings.policies.dispatch_order(is_scarce));
-        self.note_batch(&batch);
-        let kept = kept_in_table(&batch);
-        self.reuse_carried(&mut batch);
+        self.record_batch(&batch);
+        let checkpointed_events = checkpointed_event_counts(&batch);
+        self.reuse_leftover_texts(&mut batch);
         let opened = CommitRequest::Open {
             batch: id.clone(),
             next_position: listed,
@@ -118,27 +118,27 @@
         let open = OpenBatch {
             batch,
             runs: HashMap::new(),
-            outlook: BatchOutlook::default(),
-            kept,
+            estimate: BatchOutlook::default(),
+            checkpointed_events,
             cancel: CancellationToken::new(),
             opened_at: BootInstant::now(),
-            opened_age: Duration::from_millis(age_ms),
-            stories: HashMap::new(),
+            age_at_open: Duration::from_millis(age_ms),
+            timelines: HashMap::new(),
         };
         self.batches.insert(id, open);
-        self.look_ahead();
+        self.update_estimates();
     }
 
     /// Goes on with texts that an ended batch left over, if their versions fit and
     /// the table holds none for the item in this batch.
-    fn reuse_carried(&mut self, batch: &mut Batch) {
+    fn reuse_leftover_texts(&mut self, batch: &mut Batch) {
         if !self.context.settings.policies.reuse_texts {
             return;
         }
         let oldest = batch.oldest_version;
         for index in batch.unfinished() {
             let item = batch.item(index);
-            let Some(transcript) = self.carried.remove(&item.submitted.id) else {
+            let Some(transcript) = self.leftover_texts.remove(&item.submitted.id) else {
                 continue;
             };
             let mixes = batch.header.single_version && transcript.versions().len() > 1;
@@ -151,7 +151,7 @@
         }
     }
 
-    fn close(&mut self, id: &BatchId) {
+    fn close_batch(&mut self, id: &BatchId) {
         let Some(mut open) = self.batches.remove(id) else {
             return;
         };
@@ -164,13 +164,13 @@
             batch: id,
             unfinished: unfinished.len(),
         });
-        if self.carried.len() > CARRIED_LIMIT {
-            self.carried.clear();
+        if self.leftover_texts.len() > MAX_LEFTOVER_TEXTS {
+            self.leftover_texts.clear();
         }
         for index in unfinished {
             let item = open.batch.item(index);
             let id = item.submitted.id.clone();
-            self.carried.insert(id, item.transcript.clone());
+            self.leftover_texts.insert(id, item.transcript.clone());
         }
     }
 
@@ -197,14 +197,14 @@
             open.cancel = CancellationToken::new();
             open.runs.clear();
             for index in open.batch.unfinished() {
-                self.give_up(&id, index, DeathCause::Expired);
+                self.list_as_dead(&id, index, DeathCause::Expired);
             }
         }
     }
 }
 
 /// How many events of each unfinished item's text a batch was loaded with.
-fn kept_in_table(batch: &Batch) -> HashMap<ItemIndex, usize> {
+fn checkpointed_event_counts(batch: &Batch) -> HashMap<ItemIndex, usize> {
     let unfinished = batch.unfinished().into_iter();
     unfinished
         .map(|index| (index, batch.item(index).transcript.len()))
--- a/crates/sloetrail-serving/src/owner/service_owner/demand.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/demand.rs
@@ -4,7 +4,7 @@
 use crate::context::NodeContext;
 use crate::events::{self, Event};
 use crate::leases::Term;
-use crate::owner::event::{DemandWritten, OwnerEvent};
+use crate::owner::event::{DemandWriteOutcome, OwnerEvent};
 use crate::owner::place_demand::{DemandRow, StoredDemand};
 use crate::rows;
 use crate::table::Commit;
@@ -14,7 +14,7 @@
 impl ServiceOwner {
     /// Writes down what the batches take of the engines, if that is due and engines can be
     /// ordered at all.
-    pub(super) fn tell_demand(&mut self) {
+    pub(super) fn report_demand(&mut self) {
         if self.set.is_in_charge_of_engines() || self.engine_supply().is_none() {
             return;
         }
@@ -41,9 +41,9 @@
         let (context, term) = (Arc::clone(&self.context), self.term.clone());
         let sender = self.sender.clone();
         tokio::spawn(async move {
-            let written = write(&context, &term, &row).await;
+            let outcome = write_demand(&context, &term, &row).await;
             // The owner may be gone; then nobody needs it.
-            let _ = sender.send(OwnerEvent::DemandWritten(written));
+            let _ = sender.send(OwnerEvent::DemandWritten(outcome));
         });
     }
 
@@ -58,21 +58,21 @@
         decoded.map_or(StoredDemand::Unreadable, StoredDemand::Row)
     }
 
-    pub(super) fn demand_written(&mut self, written: DemandWritten) {
-        self.demand.written(written == DemandWritten::Done);
-        if written == DemandWritten::Fenced {
+    pub(super) fn demand_written(&mut self, outcome: DemandWriteOutcome) {
+        self.demand.written(outcome == DemandWriteOutcome::Done);
+        if outcome == DemandWriteOutcome::Fenced {
             self.term.ended.cancel();
         }
     }
 }
 
-async fn write(context: &NodeContext, term: &Term, row: &DemandRow) -> DemandWritten {
+async fn write_demand(context: &NodeContext, term: &Term, row: &DemandRow) -> DemandWriteOutcome {
     let address = rows::place_demand(term.subject.name());
     let transaction = term.transaction().put(address, row.encode());
-    let written = match context.table.commit(&transaction).await {
-        Ok(Commit::Done(_)) => DemandWritten::Done,
-        Ok(Commit::Conflict(_)) => DemandWritten::Fenced,
-        Err(_) => DemandWritten::Unknown,
+    let outcome = match context.table.commit(&transaction).await {
+        Ok(Commit::Done(_)) => DemandWriteOutcome::Done,
+        Ok(Commit::Conflict(_)) => DemandWriteOutcome::Fenced,
+        Err(_) => DemandWriteOutcome::Unknown,
     };
     events::emit(&Event::DemandTold {
         service: term.subject.name(),
@@ -80,7 +80,7 @@
         wanted: row.demand.wanted,
         step_percent: row.demand.step_percent,
         epoch: row.epoch,
-        outcome: written.word(),
+        outcome: outcome.as_str(),
     });
-    written
+    outcome
 }
--- a/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 
 /// Ranks at an engine: items of groups that the trainer waits for, and the others.
-const PRIORITY_WANTED: u8 = 5;
+const PRIORITY_REQUIRED: u8 = 5;
 const PRIORITY_OTHER: u8 = 7;
 /// The rank of items that are started while the lease has not been confirmed for longer
 /// than it lasts: another owner, if there is one, displaces them.
@@ -24,19 +24,19 @@
 impl ServiceOwner {
     /// Starts items while there are engines for them: first the items of groups that
     /// trainers wait for, of all batches in their turns, then the others.
-    pub(super) fn fill(&mut self) {
+    pub(super) fn dispatch_items(&mut self) {
         if !self.context.pause_guard.is_settled() {
             return;
         }
         let mut shares = std::mem::take(&mut self.shares);
         let open = self.batches.values();
-        let under_way = open.map(|open| (&open.batch.header.tenant, open.runs.len()));
-        shares.recount(under_way);
-        for wanted in [true, false] {
+        let in_flight = open.map(|open| (&open.batch.header.tenant, open.runs.len()));
+        shares.recount(in_flight);
+        for required in [true, false] {
             let open = self.batches.iter();
             let headers = open.map(|(id, open)| (id, &open.batch.header));
             let turns = BatchTurns::new(&mut shares, headers);
-            turns.run(|id| self.start_next(id, wanted));
+            turns.run(|id| self.start_next_item(id, required));
         }
         if self.batches.is_empty() {
             shares.forget_idle();
@@ -44,27 +44,27 @@
         self.shares = shares;
     }
 
-    pub(super) fn priority(&self, wanted: bool) -> u8 {
+    pub(super) fn priority(&self, required: bool) -> u8 {
         let lease = self.context.settings.bounds.lease;
-        match wanted {
+        match required {
             _ if !self.term.is_confirmed_within(lease) => PRIORITY_UNCONFIRMED,
-            true => PRIORITY_WANTED,
+            true => PRIORITY_REQUIRED,
             false => PRIORITY_OTHER,
         }
     }
 
     /// Starts the next item of a batch; false if none waits or no engine takes it.
-    fn start_next(&mut self, id: &BatchId, wanted: bool) -> bool {
-        let priority = self.priority(wanted);
-        self.set_held_aside(id);
+    fn start_next_item(&mut self, id: &BatchId, required: bool) -> bool {
+        let priority = self.priority(required);
+        self.set_quarantined_aside(id);
         let Some(open) = self.batches.get(id) else {
             return false;
         };
-        if open.is_wide_enough() {
+        if open.has_enough_runs() {
             return false;
         }
         let next = open.batch.peek();
-        if next.is_none_or(|index| open.batch.is_wanted(index) != wanted) {
+        if next.is_none_or(|index| open.batch.is_wanted(index) != required) {
             return false;
         }
         let demand = Demand {
@@ -79,30 +79,30 @@
         let Some(engine_id) = picked else {
             return false;
         };
-        next.is_some_and(|index| self.start_on(id, index, engine_id, priority))
+        next.is_some_and(|index| self.start_item_on(id, index, engine_id, priority))
     }
 
     /// What counts for an item that is to be sent to an engine.
     fn preference(&self, open: &OpenBatch, index: Option<ItemIndex>) -> EnginePreference {
         let policies = self.context.settings.policies;
         let item = index.map(|index| open.batch.item(index));
-        let is_deciding = item.is_some_and(|item| open.outlook.is_deciding(item, &self.lengths));
+        let is_critical = item.is_some_and(|item| open.estimate.is_deciding(item, &self.lengths));
         match policies.prefer_fast_engines {
             false => EnginePreference::Emptiest,
-            true if is_deciding || !policies.bounded_batch_width => EnginePreference::Fastest,
+            true if is_critical || !policies.bounded_batch_width => EnginePreference::Fastest,
             true => EnginePreference::Connected,
         }
     }
 
     /// Starts an item that waits on an engine; false if either is not there.
-    pub(super) fn start_on(
+    pub(super) fn start_item_on(
         &mut self,
         id: &BatchId,
         index: ItemIndex,
         engine_id: EngineId,
         priority: u8,
     ) -> bool {
-        let Some(passage) = self.passage(id, index) else {
+        let Some(permit) = self.quarantine_permit(id, index) else {
             return false;
         };
         let Some(open) = self.batches.get_mut(id) else {
@@ -120,10 +120,14 @@
             engine: engine_id.clone(),
             cancel: open.cancel.child_token(),
             progress: RunProgress::new(item.transcript.clone()),
-            kept: open.kept.get(&index).copied().unwrap_or_default(),
-            began: BootInstant::now(),
+            checkpointed_events: open
+                .checkpointed_events
+                .get(&index)
+                .copied()
+                .unwrap_or_default(),
+            started_at: BootInstant::now(),
             has_moved: false,
-            moves_to: None,
+            move_target: None,
         };
         let spec = RunSpec {
             context: Arc::clone(&self.context),
@@ -136,7 +140,7 @@
             priority,
             sends: engine.sends(),
             repeat_bound: engine.repeat_bound(),
-            passage,
+            passage: permit,
             pace: Arc::clone(&engine.pace),
             progress: Arc::clone(&run.progress),
             cancel: run.cancel.clone(),
@@ -150,7 +154,10 @@
             version: engine.version(model).0,
             waiting: open.batch.waiting(),
         });
-        open.stories.entry(index).or_default().started(run.began);
+        open.timelines
+            .entry(index)
+            .or_default()
+            .run_started(run.started_at);
         open.runs.insert(index, run);
         self.spawn_run(id.clone(), index, engine_id, spec);
         true
@@ -159,7 +166,7 @@
     fn spawn_run(&self, batch: BatchId, index: ItemIndex, engine: EngineId, spec: RunSpec) {
         let sender = self.sender.clone();
         tokio::spawn(async move {
-            let began = BootInstant::now();
+            let started_at = BootInstant::now();
             let progress = Arc::clone(&spec.progress);
             let outcome = run_item(spec).await;
             let ended = OwnerEvent::RunEnded {
@@ -168,14 +175,14 @@
                 engine,
                 outcome,
                 transcript: progress.transcript(),
-                took: began.elapsed(),
+                took: started_at.elapsed(),
             };
             // The owner may be gone; then nobody needs it.
             let _ = sender.send(ended);
         });
     }
 
-    pub(super) fn tell_items(&self) {
+    pub(super) fn report_item_counts(&self) {
         let open = self.batches.values();
         let waiting = open.map(|open| open.batch.waiting()).sum();
         let running = self.batches.values().map(|open| open.runs.len()).sum();
--- a/crates/sloetrail-serving/src/owner/service_owner/other_batches/tests.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/other_batches/tests.rs
@@ -31,11 +31,11 @@
     assert_eq!(others.items("m", 5_999), 16);
     assert_eq!(others.items("m", 6_000), 8, "the first is past its target");
     assert_eq!(others.items("m", 31_000), 0);
-    assert!(others.any_at_work(30_999, |_| true));
-    assert!(!others.any_at_work(31_000, |_| true));
+    assert!(others.any_active(30_999, |_| true));
+    assert!(!others.any_active(31_000, |_| true));
     let is_n = |header: &BatchHeader| header.model.as_deref() == Some("n");
-    assert!(others.any_at_work(30_999, is_n));
-    assert!(!others.any_at_work(30_999, |_| false), "none is meant");
+    assert!(others.any_active(30_999, is_n));
+    assert!(!others.any_active(30_999, |_| false), "none is meant");
     assert_eq!(others.demanded_version("m"), Some(WeightVersion(4)));
     others.retain(|id| id != "b2");
     assert_eq!(others.demanded_version("m"), Some(WeightVersion(3)));
--- a/crates/sloetrail-serving/src/owner/service_owner/kept_back.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/quarantined_items.rs
@@ -12,25 +12,25 @@
 use std::time::Duration;
 
 /// How long a trial of an item may take: ordinary texts take one to three seconds.
-const TRIAL_TIME: Duration = Duration::from_secs(10);
+const TRIAL_TIMEOUT: Duration = Duration::from_secs(10);
 
-type Place = (BatchId, ItemIndex);
+type ItemKey = (BatchId, ItemIndex);
 
 /// The items that an owner keeps from engines.
 #[derive(Default)]
-pub(super) struct KeptBack {
-    items: BTreeMap<Place, Passage>,
+pub(super) struct QuarantinedItems {
+    items: BTreeMap<ItemKey, Passage>,
     /// Those that may be tried once.
-    on_trial: BTreeMap<Place, Passage>,
+    on_trial: BTreeMap<ItemKey, Passage>,
     /// True while the table is asked for a trial.
-    is_asking: bool,
+    is_trial_pending: bool,
 }
 
 impl ServiceOwner {
     /// What lets an item go to engines.
-    pub(super) fn passage(&mut self, id: &BatchId, index: ItemIndex) -> Option<Passage> {
-        let place = (id.clone(), index);
-        if let Some(on_trial) = self.kept_back.on_trial.remove(&place) {
+    pub(super) fn quarantine_permit(&mut self, id: &BatchId, index: ItemIndex) -> Option<Passage> {
+        let key = (id.clone(), index);
+        if let Some(on_trial) = self.quarantined.on_trial.remove(&key) {
             return Some(on_trial);
         }
         let open = self.batches.get(id)?;
@@ -41,23 +41,23 @@
     }
 
     /// Takes the items that are kept from engines off the head of a batch's queue.
-    pub(super) fn set_held_aside(&mut self, id: &BatchId) {
+    pub(super) fn set_quarantined_aside(&mut self, id: &BatchId) {
         if self.context.quarantine.judgement().is_empty(&self.service) {
             return;
         }
         while let Some(index) = self.batches.get(id).and_then(|open| open.batch.peek()) {
-            let Some(passage) = self.passage(id, index) else {
+            let Some(permit) = self.quarantine_permit(id, index) else {
                 return;
             };
-            let place = (id.clone(), index);
-            if passage.is_on_trial() {
-                self.kept_back.on_trial.insert(place, passage);
+            let key = (id.clone(), index);
+            if permit.is_on_trial() {
+                self.quarantined.on_trial.insert(key, permit);
                 return;
             }
-            if passage.is_open() {
+            if permit.is_open() {
                 return;
             }
-            self.kept_back.items.insert(place, passage);
+            self.quarantined.items.insert(key, permit);
             if let Some(open) = self.batches.get_mut(id) {
                 open.batch.set_aside(index);
             }
@@ -66,48 +66,50 @@
 
     /// Puts the items back that may go to engines now, and asks for a trial of one that may be
     /// tried.
-    pub(super) fn look_at_kept_back(&mut self) {
+    pub(super) fn release_quarantined_items(&mut self) {
         let batches = &self.batches;
-        self.kept_back
+        self.quarantined
             .items
             .retain(|(id, _), _| batches.contains_key(id));
-        let open = self.kept_back.items.iter();
-        let open = open.filter(|(_, passage)| passage.is_open());
-        let open: Vec<Place> = open.map(|(place, _)| place.clone()).collect();
-        for place in open {
-            self.kept_back.items.remove(&place);
-            self.put_back(&place);
+        let released = self.quarantined.items.iter();
+        let released = released.filter(|(_, permit)| permit.is_open());
+        let released: Vec<ItemKey> = released.map(|(key, _)| key.clone()).collect();
+        for key in released {
+            self.quarantined.items.remove(&key);
+            self.put_back(&key);
         }
-        if !self.kept_back.is_asking {
-            self.ask_for_trial();
+        if !self.quarantined.is_trial_pending {
+            self.request_trial();
         }
     }
 
-    fn ask_for_trial(&mut self) {
-        let mut items = self.kept_back.items.iter();
-        let to_try = items.find(|(_, passage)| passage.permission() == Permission::OnTrial);
-        let Some((place, passage)) = to_try else {
+    fn request_trial(&mut self) {
+        let mut items = self.quarantined.items.iter();
+        let to_try = items.find(|(_, permit)| permit.permission() == Permission::OnTrial);
+        let Some((key, permit)) = to_try else {
             return;
         };
-        self.kept_back.is_asking = true;
-        let (place, mut passage) = (place.clone(), passage.clone());
+        self.quarantined.is_trial_pending = true;
+        let (key, mut permit) = (key.clone(), permit.clone());
         let sender = self.sender.clone();
         tokio::spawn(async move {
-            passage.ask_for_trial(BootInstant::now() + TRIAL_TIME).await;
+            permit
+                .ask_for_trial(BootInstant::now() + TRIAL_TIMEOUT)
+                .await;
             // The owner may be gone; then nobody needs it.
-            let _ = sender.send(OwnerEvent::TrialAnswered(place, Box::new(passage)));
+            let _ = sender.send(OwnerEvent::TrialDecided(key, Box::new(permit)));
         });
     }
 
-    pub(super) fn trial_answered(&mut self, place: Place, passage: Passage) {
-        self.kept_back.is_asking = false;
-        if passage.is_on_trial() && self.kept_back.items.remove(&place).is_some() {
-            self.kept_back.on_trial.insert(place.clone(), passage);
-            self.put_back(&place);
+    pub(super) fn trial_decided(&mut self, key: ItemKey, permit: Passage) {
+        self.quarantined.is_trial_pending = false;
+        if permit.is_on_trial() && self.quarantined.items.remove(&key).is_some() {
+            self.quarantined.on_trial.insert(key.clone(), permit);
+            self.put_back(&key);
         }
     }
 
-    fn put_back(&mut self, (id, index): &Place) {
+    fn put_back(&mut self, (id, index): &ItemKey) {
         if let Some(open) = self.batches.get_mut(id) {
             open.batch.put_back(*index);
         }
--- a/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
@@ -17,15 +17,15 @@
 
 /// A move must save at least this: reading the text again takes some tens of
 /// milliseconds, and what remains of a text is an estimate.
-const GAIN_LEAST: Duration = Duration::from_millis(250);
+const MIN_GAIN: Duration = Duration::from_millis(250);
 /// A run is not moved before: until then its engine's pace is that of earlier runs.
-const RUN_LEAST: Duration = Duration::from_millis(400);
+const MIN_RUN_TIME: Duration = Duration::from_millis(400);
 /// A text that has moved stays for this long: paces vary with the load.
-const STAY_LEAST: Duration = Duration::from_millis(1_500);
+const MIN_STAY: Duration = Duration::from_millis(1_500);
 /// A text is moved only if it has at least this share of what the longest of its batch has
 /// left. The batch is done no sooner if another one is, and each move closes a connection and
 /// has the text read again.
-const CRITICAL_SHARE: f64 = 0.75;
+const MIN_CRITICAL_SHARE: f64 = 0.75;
 
 /// A run that would be done sooner elsewhere.
 struct Candidate {
@@ -33,20 +33,20 @@
     /// Events that are still expected.
     remaining: f64,
     /// Microseconds an event where it runs.
-    pace: u64,
+    event_interval_us: u64,
 }
 
 impl Candidate {
     /// The time that it takes where it runs, in microseconds.
     fn time_left(&self) -> f64 {
-        self.pace as f64 * self.remaining
+        self.event_interval_us as f64 * self.remaining
     }
 
     /// The time that going on at an engine saves, if it is clearly faster.
-    fn gain_at(&self, engine: &FreeEngine) -> Option<Duration> {
-        let is_clear = self.pace as f64 > engine.pace as f64 * PACE_STEP;
-        let saved = self.pace.saturating_sub(engine.pace) as f64 * self.remaining;
-        is_clear.then(|| Duration::from_micros(saved as u64))
+    fn gain_on(&self, engine: &FreeEngine) -> Option<Duration> {
+        let is_clearly_faster = self.event_interval_us as f64 > engine.pace as f64 * PACE_STEP;
+        let saved = self.event_interval_us.saturating_sub(engine.pace) as f64 * self.remaining;
+        is_clearly_faster.then(|| Duration::from_micros(saved as u64))
     }
 }
 
@@ -62,13 +62,13 @@
             if open.batch.waiting() > 0 {
                 continue;
             }
-            let mut places = self.engines.fast_places(demand, now);
+            let mut slots = self.engines.fast_places(demand, now);
             for run in open.runs.values() {
                 let engine = self.engines.get(&run.engine);
                 let is_slow = engine.is_some_and(|engine| engine.is_slow());
-                if places > 0 && is_slow && !run.cancel.is_cancelled() {
+                if slots > 0 && is_slow && !run.cancel.is_cancelled() {
                     run.cancel.cancel();
-                    places -= 1;
+                    slots -= 1;
                 }
             }
         }
@@ -92,14 +92,14 @@
                     candidate(&open.batch, *index, run, &self.engines, &self.lengths, now)
                 })
                 .collect();
-            keep_critical(&mut candidates);
+            retain_critical(&mut candidates);
             let mut target = free.next();
             for candidate in candidates {
                 let Some(engine) = &target else {
                     break;
                 };
-                let gain = candidate.gain_at(engine);
-                let Some(gain) = gain.filter(|gain| *gain >= GAIN_LEAST) else {
+                let gain = candidate.gain_on(engine);
+                let Some(gain) = gain.filter(|gain| *gain >= MIN_GAIN) else {
                     continue;
                 };
                 let Some(run) = open.runs.get_mut(&candidate.index) else {
@@ -113,7 +113,7 @@
                     remaining_events: candidate.remaining as u64,
                     gain_ms: gain.as_millis() as u64,
                 });
-                run.moves_to = Some(engine.id.clone());
+                run.move_target = Some(engine.id.clone());
                 run.cancel.cancel();
                 if let Some(engine) = self.engines.get_mut(&engine.id) {
                     engine.keep_place(now);
@@ -124,7 +124,7 @@
     }
 
     /// Goes on with an item whose run was closed so that it can move.
-    pub(super) fn go_on_at(&mut self, id: &BatchId, index: ItemIndex, engine: EngineId) {
+    pub(super) fn resume_at(&mut self, id: &BatchId, index: ItemIndex, engine: EngineId) {
         self.engines.release_place(Some(&engine));
         let Some(open) = self.batches.get(id) else {
             return;
@@ -133,12 +133,12 @@
             model: open.batch.model.as_deref(),
             oldest_version: open.batch.oldest_version,
         };
-        let wanted = open.batch.is_wanted(index);
+        let required = open.batch.is_wanted(index);
         let target = self.engines.get(&engine);
         // Otherwise it waits and goes wherever there is room.
         if target.is_some_and(|engine| engine.can_take(demand, BootInstant::now())) {
-            let priority = self.priority(wanted);
-            self.start_on(id, index, engine, priority);
+            let priority = self.priority(required);
+            self.start_item_on(id, index, engine, priority);
             self.mark_moved(id, index);
         }
     }
@@ -152,9 +152,9 @@
 }
 
 /// Leaves the texts that decide when their batch is done, the longest first.
-fn keep_critical(candidates: &mut Vec<Candidate>) {
+fn retain_critical(candidates: &mut Vec<Candidate>) {
     let times = candidates.iter().map(Candidate::time_left);
-    let critical = times.fold(0.0, f64::max) * CRITICAL_SHARE;
+    let critical = times.fold(0.0, f64::max) * MIN_CRITICAL_SHARE;
     candidates.retain(|candidate| candidate.time_left() >= critical);
     candidates.sort_by(|left, right| right.time_left().total_cmp(&left.time_left()));
 }
@@ -167,22 +167,22 @@
     lengths: &LengthModel,
     now: BootInstant,
 ) -> Option<Candidate> {
-    let stays_for = match run.has_moved {
-        true => STAY_LEAST,
-        false => RUN_LEAST,
+    let min_run_time = match run.has_moved {
+        true => MIN_STAY,
+        false => MIN_RUN_TIME,
     };
-    let is_young = now < run.began + stays_for;
-    if is_young || run.cancel.is_cancelled() {
+    let is_recent = now < run.started_at + min_run_time;
+    if is_recent || run.cancel.is_cancelled() {
         return None;
     }
-    let pace = engines.get(&run.engine)?.pace.microseconds()?;
+    let event_interval_us = engines.get(&run.engine)?.pace.microseconds()?;
     let made = run.progress.events();
-    let hinted = batch.item(index).expected_length;
-    let remaining = lengths.remaining_events(hinted, made)?;
+    let hint = batch.item(index).expected_length;
+    let remaining = lengths.remaining_events(hint, made)?;
     Some(Candidate {
         index,
         remaining,
-        pace,
+        event_interval_us,
     })
 }
 
--- a/crates/sloetrail-serving/src/owner/service_owner/relocation/tests.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/relocation/tests.rs
@@ -1,11 +1,11 @@
-use super::{Candidate, keep_critical};
+use super::{Candidate, retain_critical};
 
 /// A text with so many events left at so many milliseconds an event.
-fn candidate(index: usize, remaining: f64, pace_ms: u64) -> Candidate {
+fn candidate(index: usize, remaining: f64, event_interval_ms: u64) -> Candidate {
     Candidate {
         index,
         remaining,
-        pace: pace_ms * 1_000,
+        event_interval_us: event_interval_ms * 1_000,
     }
 }
 
@@ -21,14 +21,14 @@
         candidate(3, 37.0, 60),
         candidate(4, 44.0, 60),
     ];
-    keep_critical(&mut candidates);
-    let kept: Vec<usize> = candidates.iter().map(|text| text.index).collect();
-    assert_eq!(kept, [2, 1, 4]);
+    retain_critical(&mut candidates);
+    let retained: Vec<usize> = candidates.iter().map(|text| text.index).collect();
+    assert_eq!(retained, [2, 1, 4]);
 }
 
 #[test]
 fn a_batch_without_texts_to_move_moves_none() {
     let mut candidates = Vec::new();
-    keep_critical(&mut candidates);
+    retain_critical(&mut candidates);
     assert!(candidates.is_empty());
 }
--- a/crates/sloetrail-serving/src/owner/service_owner/results.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/results.rs
@@ -23,28 +23,29 @@
         took: Duration,
     ) {
         telemetry::run_ended(self.service.as_str(), outcome.word(), took);
-        self.judge_engine(engine, outcome);
+        self.update_engine_after_run(engine, outcome);
         let Some(open) = self.batches.get_mut(id) else {
             return;
         };
         if open.batch.item(index).state != ItemState::Running {
             return;
         }
-        let story = open.stories.entry(index).or_default();
-        let known = open.batch.item(index).transcript.len();
-        story.run_ended(took, transcript.len().saturating_sub(known));
-        let mut moves_to = None;
+        let timeline = open.timelines.entry(index).or_default();
+        let known_events = open.batch.item(index).transcript.len();
+        timeline.run_ended(took, transcript.len().saturating_sub(known_events));
+        let mut move_target = None;
         if let Some(run) = open.runs.remove(&index) {
-            open.kept.insert(index, run.kept);
-            moves_to = run.moves_to;
+            open.checkpointed_events
+                .insert(index, run.checkpointed_events);
+            move_target = run.move_target;
         }
         if outcome == RunOutcome::Whole {
-            let hinted = open.batch.item(index).expected_length;
-            self.lengths.note(hinted, transcript.len());
-            self.engines.release_place(moves_to.as_ref());
-            story.text_is_whole(BootInstant::now());
+            let hint = open.batch.item(index).expected_length;
+            self.lengths.note(hint, transcript.len());
+            self.engines.release_place(move_target.as_ref());
+            timeline.text_completed(BootInstant::now());
             open.batch.text_is_whole(index, transcript);
-            self.begin_reward(id, index);
+            self.enqueue_scoring(id, index);
             return;
         }
         events::emit(&Event::ItemInterrupted {
@@ -66,7 +67,7 @@
         };
         let death = open.batch.run_failed(index, failure);
         if open.batch.item(index).transcript.is_empty() {
-            open.kept.remove(&index);
+            open.checkpointed_events.remove(&index);
         }
         if failure == RunFailure::Failed && death.is_none() {
             let request = CommitRequest::Failed {
@@ -77,17 +78,17 @@
             // The committer ends only with the term.
             let _ = self.commits.send(request);
         }
-        match (death, moves_to) {
-            (Some(cause), moves_to) => {
-                self.engines.release_place(moves_to.as_ref());
-                self.give_up(id, index, cause);
+        match (death, move_target) {
+            (Some(cause), move_target) => {
+                self.engines.release_place(move_target.as_ref());
+                self.list_as_dead(id, index, cause);
             }
-            (None, Some(engine)) => self.go_on_at(id, index, engine),
+            (None, Some(engine)) => self.resume_at(id, index, engine),
             (None, None) => {}
         }
     }
 
-    fn judge_engine(&mut self, id: &EngineId, outcome: RunOutcome) {
+    fn update_engine_after_run(&mut self, id: &EngineId, outcome: RunOutcome) {
         let Some(engine) = self.engines.get_mut(id) else {
             return;
         };
@@ -103,16 +104,21 @@
         }
     }
 
-    pub(super) fn succeed(&mut self, id: &BatchId, index: ItemIndex, score: Option<String>) {
+    pub(super) fn list_as_succeeded(
+        &mut self,
+        id: &BatchId,
+        index: ItemIndex,
+        score: Option<String>,
+    ) {
         if let Some(open) = self.batches.get_mut(id) {
-            let story = open.stories.entry(index).or_default();
-            story.scored(BootInstant::now());
+            let timeline = open.timelines.entry(index).or_default();
+            timeline.scored(BootInstant::now());
             let result = open.batch.succeed(index, score);
-            self.list(id, index, result);
+            self.list_result(id, index, result);
         }
     }
 
-    pub(super) fn give_up(&mut self, id: &BatchId, index: ItemIndex, cause: DeathCause) {
+    pub(super) fn list_as_dead(&mut self, id: &BatchId, index: ItemIndex, cause: DeathCause) {
         let Some(open) = self.batches.get_mut(id) else {
             return;
         };
@@ -127,10 +133,10 @@
                 DeathCause::Expired => "its time of retention is over",
             },
         });
-        self.list(id, index, result);
+        self.list_result(id, index, result);
     }
 
-    fn list(&self, id: &BatchId, index: ItemIndex, result: ListedResult) {
+    fn list_result(&self, id: &BatchId, index: ItemIndex, result: ListedResult) {
         let request = CommitRequest::List {
             batch: id.clone(),
             index,
@@ -163,31 +169,32 @@
             return;
         };
         if open.batch.listed(committed.index) {
-            let age = open.opened_age + open.opened_at.elapsed();
+            let age = open.age_at_open + open.opened_at.elapsed();
             let header = open.batch.header.clone();
-            self.note_step(&header, age);
-            self.tell_step(&committed.batch, committed.index);
+            self.record_step(&header, age);
+            self.report_step(&committed.batch, committed.index);
         }
     }
 
     /// Tells that the groups that a trainer waits for are whole, and where the time of
     /// the item went that was the last of them.
-    fn tell_step(&self, id: &BatchId, last: ItemIndex) {
+    fn report_step(&self, id: &BatchId, last: ItemIndex) {
         let Some(open) = self.batches.get(id) else {
             return;
         };
         let now = BootInstant::now();
         let groups = open.batch.groups();
-        let story = open.stories.get(&last).cloned().unwrap_or_default();
-        let times = story.times(open.opened_at, now);
-        let pace = self.engines.fastest_pace().unwrap_or_default();
-        let least = Duration::from_micros(pace.saturating_mul(groups.longest() as u64));
-        let age = open.opened_age + now.saturating_duration_since(open.opened_at);
+        let timeline = open.timelines.get(&last).cloned().unwrap_or_default();
+        let times = timeline.times(open.opened_at, now);
+        let event_interval_us = self.engines.fastest_pace().unwrap_or_default();
+        let min_time =
+            Duration::from_micros(event_interval_us.saturating_mul(groups.longest() as u64));
+        let age = open.age_at_open + now.saturating_duration_since(open.opened_at);
         events::emit(&Event::StepWhole {
             batch: id,
             groups: groups.wanted(),
             age_ms: milliseconds(age),
-            opened_ms: milliseconds(open.opened_age),
+            opened_ms: milliseconds(open.age_at_open),
             item: &open.batch.item(last).submitted.id,
             wanted: open.batch.is_wanted(last),
             waiting_ms: milliseconds(times.waiting),
@@ -195,10 +202,10 @@
             between_runs_ms: milliseconds(times.between_runs),
             scoring_ms: milliseconds(times.scoring),
             committing_ms: milliseconds(times.committing),
-            runs: story.runs,
-            events_made: story.events_made,
+            runs: timeline.runs,
+            events_made: timeline.generated_events,
             longest_events: groups.longest(),
-            least_ms: milliseconds(least),
+            least_ms: milliseconds(min_time),
             epoch: self.term.epoch.0,
         });
     }
--- a/crates/sloetrail-serving/src/owner/service_owner/scoring.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/scoring.rs
@@ -10,13 +10,13 @@
 
 impl ServiceOwner {
     /// Lets a whole text wait for its score, or lists it if it needs none.
-    pub(super) fn begin_reward(&mut self, id: &BatchId, index: ItemIndex) {
+    pub(super) fn enqueue_scoring(&mut self, id: &BatchId, index: ItemIndex) {
         let Some(open) = self.batches.get(id) else {
             return;
         };
         let header = &open.batch.header;
         let Some(call) = &open.batch.item(index).submitted.reward else {
-            self.succeed(id, index, None);
+            self.list_as_succeeded(id, index, None);
             return;
         };
         let lane = reward::lane(&self.context, call, &header.allowed_regions);
@@ -29,19 +29,19 @@
     }
 
     /// Has as many texts scored as there are places for.
-    pub(super) fn score_texts(&mut self) {
+    pub(super) fn start_scorings(&mut self) {
         let context = Arc::clone(&self.context);
-        let places = |lane: &Lane| match &lane.service {
+        let slots = |lane: &Lane| match &lane.service {
             Some(service) => context.pools.places_beside_callers(service, &lane.regions),
             None => 0,
         };
-        for scoring in self.rewards.start(BootInstant::now(), places) {
-            self.score(scoring);
+        for scoring in self.rewards.start(BootInstant::now(), slots) {
+            self.start_scoring(scoring);
         }
     }
 
     /// Drops the texts whose batch has ended, or that were given up.
-    pub(super) fn drop_scored(&mut self) {
+    pub(super) fn drop_unneeded_scorings(&mut self) {
         let batches = &self.batches;
         self.rewards.retain(|scoring| {
             let open = batches.get(&scoring.batch);
@@ -49,7 +49,7 @@
         });
     }
 
-    fn score(&mut self, scoring: Scoring) {
+    fn start_scoring(&mut self, scoring: Scoring) {
         let open = self.batches.get(&scoring.batch);
         let Some(open) = open.filter(|open| open.needs_score(scoring.index)) else {
             self.rewards
@@ -85,7 +85,7 @@
             settled => {
                 self.rewards.tried(now, scoring, Tried::Settled);
                 if let (RewardOutcome::Scored(score), true) = (settled, is_needed) {
-                    self.succeed(&id, index, Some(score));
+                    self.list_as_succeeded(&id, index, Some(score));
                 }
                 return;
             }
@@ -93,10 +93,10 @@
         scoring.failures += failure.failed_answers;
         if scoring.failures >= failure.allowed {
             self.rewards.tried(now, scoring, Tried::Settled);
-            self.give_up(&id, index, DeathCause::RewardFailed);
+            self.list_as_dead(&id, index, DeathCause::RewardFailed);
             return;
         }
-        self.rewards.tried(now, scoring, tried(failure));
+        self.rewards.tried(now, scoring, attempt_outcome(failure));
     }
 }
 
@@ -107,7 +107,7 @@
     }
 }
 
-fn tried(failure: RewardFailure) -> Tried {
+fn attempt_outcome(failure: RewardFailure) -> Tried {
     match failure {
         failure if failure.is_kept_back => Tried::KeptBack,
         failure if failure.found_no_place => Tried::FoundNoPlace,
--- a/crates/sloetrail-serving/src/owner/service_owner/supply.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/supply.rs
@@ -6,7 +6,7 @@
 use crate::events::{self, Event};
 use crate::lease_holder::LeaseHolder;
 use crate::leases::{OrderWindow, Term};
-use crate::owner::event::{OwnerEvent, SupplyAnswered};
+use crate::owner::event::{OwnerEvent, SupplyOrdersOutcome};
 use crate::owner::place_demand::HeardDemands;
 use crate::rows;
 use crate::table::{Commit, read_row};
@@ -20,14 +20,14 @@
 use std::time::Duration;
 
 /// How long an answer to an order may take. It must come within the order window.
-const ORDER_PATIENCE: Duration = Duration::from_millis(700);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// How long to wait when the table did not tell how many engines there were.
-const FLOOR_RETRY: Duration = Duration::from_millis(1_000);
+const BASELINE_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
 /// What is known of how many engines there were before any were ordered.
 #[derive(Clone, Copy)]
-enum Floor {
+enum EngineBaseline {
     /// It is to be read from this moment on.
     Unknown(BootInstant),
     BeingRead,
@@ -39,11 +39,11 @@
     origin: BootInstant,
     scaler: FleetScaler,
     /// What bound batches take, as their owners tell it.
-    heard: HeardDemands,
+    received: HeardDemands,
     /// By model, when its last batch was accepted, in milliseconds of the table's clock.
     accepted_at_ms: BTreeMap<String, u64>,
     /// How many engines there were before any were ordered.
-    floor: Floor,
+    baseline: EngineBaseline,
     /// Orders that wait for a window.
     planned: Vec<SupplyOrder>,
     is_ordering: bool,
@@ -54,9 +54,9 @@
         Self {
             origin: BootInstant::now(),
             scaler: FleetScaler::default(),
-            heard: HeardDemands::default(),
+            received: HeardDemands::default(),
             accepted_at_ms: BTreeMap::new(),
-            floor: Floor::Unknown(BootInstant::now()),
+            baseline: EngineBaseline::Unknown(BootInstant::now()),
             planned: Vec::new(),
             is_ordering: false,
         }
@@ -69,7 +69,7 @@
     }
 
     /// A batch was opened.
-    pub(super) fn note_batch(&mut self, model: &str, header: &BatchHeader) {
+    pub(super) fn record_batch(&mut self, model: &str, header: &BatchHeader) {
         let accepted_at_ms = header.accepted_at_ms;
         let before = self.accepted_at_ms.insert(model.to_owned(), accepted_at_ms);
         let since_previous = before
@@ -81,7 +81,7 @@
 
 impl ServiceOwner {
     /// The groups that a trainer waits for are whole.
-    pub(super) fn note_step(&mut self, header: &BatchHeader, age: Duration) {
+    pub(super) fn record_step(&mut self, header: &BatchHeader, age: Duration) {
         if header.run_target_ms == 0 || self.scaling_bounds().is_none() {
             return;
         }
@@ -101,7 +101,7 @@
     }
 
     /// Takes in what the engines do, and orders another number of them if one is wanted.
-    pub(super) fn drive_supply(&mut self) {
+    pub(super) fn scale_engines(&mut self) {
         if !self.set.is_in_charge_of_engines() {
             return;
         }
@@ -116,30 +116,33 @@
         }
         let now = self.supply.now();
         let zones = self.zones_now(&bounds);
-        self.note_supply_load(now, &zones);
-        let Some(floor) = self.floor() else {
+        self.record_supply_load(now, &zones);
+        let Some(baseline) = self.baseline() else {
             return;
         };
         if self.supply.planned.is_empty() && !self.supply.is_ordering {
-            self.supply.planned = self.plan_supply(now, &zones, &bounds, floor);
+            self.supply.planned = self.plan_supply(now, &zones, &bounds, baseline);
         }
         self.order_supply(supply);
     }
 
-    fn note_supply_load(&mut self, now: Timestamp, zones: &ZonesNow) {
+    fn record_supply_load(&mut self, now: Timestamp, zones: &ZonesNow) {
         let now_ms = self.context.table.now_ms().unwrap_or_default();
         let is_answering = self.context.table.is_answering();
         if !is_answering {
-            self.supply.heard.note_table_away(now_ms);
+            self.supply.received.note_table_away(now_ms);
         }
         let leases = self.context.leases.borrow().clone();
-        let steps = self.supply.heard.take_view(&leases, &self.service, now_ms);
-        let heard = &self.supply.heard;
-        let works = heard.works(now_ms);
-        let is_untold = |header: &BatchHeader| {
-            !heard.covers(&header.allowed_regions, header.accepted_at_ms, now_ms)
+        let steps = self
+            .supply
+            .received
+            .take_view(&leases, &self.service, now_ms);
+        let received = &self.supply.received;
+        let works = received.works(now_ms);
+        let is_unreported = |header: &BatchHeader| {
+            !received.covers(&header.allowed_regions, header.accepted_at_ms, now_ms)
         };
-        let is_complete = is_answering && !self.others.any_at_work(now_ms, is_untold);
+        let is_complete = is_answering && !self.other_batches.any_active(now_ms, is_unreported);
         let running = self.batches.values().map(|open| open.runs.len()).sum();
         let scaler = &mut self.supply.scaler;
         scaler.note_load(now, running, zones, &works);
@@ -159,31 +162,32 @@
 
     /// How many engines there were before any were ordered, those of evacuated zones
     /// included, once the table has told.
-    fn floor(&mut self) -> Option<usize> {
+    fn baseline(&mut self) -> Option<usize> {
         let engines = self.engines.iter();
         let engines = engines.filter(|(_, engine)| !engine.back_end.draining);
         let engines = engines.count();
         // Before the first batch the engines may still be on their way.
         let is_in_use = engines > 0 && !self.supply.accepted_at_ms.is_empty();
-        match self.supply.floor {
-            Floor::Known(floor) => return Some(floor),
-            Floor::Unknown(from) if is_in_use && BootInstant::now() >= from => {}
-            Floor::Unknown(_) | Floor::BeingRead => return None,
+        match self.supply.baseline {
+            EngineBaseline::Known(baseline) => return Some(baseline),
+            EngineBaseline::Unknown(from) if is_in_use && BootInstant::now() >= from => {}
+            EngineBaseline::Unknown(_) | EngineBaseline::BeingRead => return None,
         }
-        self.supply.floor = Floor::BeingRead;
+        self.supply.baseline = EngineBaseline::BeingRead;
         let (context, term) = (Arc::clone(&self.context), self.term.clone());
         let (service, sender) = (self.service.clone(), self.sender.clone());
         tokio::spawn(async move {
-            let floor = read_floor(&context, &term, &service, engines).await;
+            let baseline = read_or_record_baseline(&context, &term, &service, engines).await;
             // The owner may be gone; then nobody needs it.
-            let _ = sender.send(OwnerEvent::FloorRead(floor));
+            let _ = sender.send(OwnerEvent::BaselineRead(baseline));
         });
         None
     }
 
-    pub(super) fn floor_read(&mut self, floor: Option<usize>) {
-        let again_at = BootInstant::now() + FLOOR_RETRY;
-        self.supply.floor = floor.map_or(Floor::Unknown(again_at), Floor::Known);
+    pub(super) fn baseline_read(&mut self, baseline: Option<usize>) {
+        let again_at = BootInstant::now() + BASELINE_RETRY_DELAY;
+        self.supply.baseline =
+            baseline.map_or(EngineBaseline::Unknown(again_at), EngineBaseline::Known);
     }
 
     fn plan_supply(
@@ -191,12 +195,12 @@
         now: Timestamp,
         zones: &ZonesNow,
         bounds: &ScalingBounds,
-        floor: usize,
+        baseline: usize,
     ) -> Vec<SupplyOrder> {
         let slots = self.engines.iter().map(|(_, engine)| engine.back_end.slots);
         let slots = slots.max().unwrap_or(1);
         let scaler = &mut self.supply.scaler;
-        let shares = scaler.decide(now, zones, slots, bounds, floor);
+        let shares = scaler.decide(now, zones, slots, bounds, baseline);
         let shares = shares.into_iter().flatten();
         let changed = shares.filter(|(zone, engines)| zones[zone].engines != *engines);
         changed
@@ -260,15 +264,15 @@
         };
         let sender = self.sender.clone();
         tokio::spawn(async move {
-            let answered = task.run().await;
+            let outcome = task.run().await;
             // The owner may be gone; then nobody needs it.
-            let _ = sender.send(OwnerEvent::SupplyAnswered(answered));
+            let _ = sender.send(OwnerEvent::SupplyOrdersEnded(outcome));
         });
     }
 
-    pub(super) fn supply_answered(&mut self, answered: SupplyAnswered) {
+    pub(super) fn supply_orders_ended(&mut self, outcome: SupplyOrdersOutcome) {
         self.supply.is_ordering = false;
-        if answered.fenced {
+        if outcome.fenced {
             self.term.ended.cancel();
         }
     }
@@ -276,7 +280,7 @@
 
 /// How many engines there were before any were ordered. The first owner ever writes down
 /// what it sees. Nothing if the table does not answer.
-async fn read_floor(
+async fn read_or_record_baseline(
     context: &NodeContext,
     term: &Term,
     service: &ServiceName,
@@ -303,20 +307,20 @@
 
 impl SupplyTask {
     /// Gives the orders while the window is open; what is left is decided anew.
-    async fn run(self) -> SupplyAnswered {
+    async fn run(self) -> SupplyOrdersOutcome {
         let mut fenced = false;
         for order in &self.orders {
             if !self.window.is_open() || fenced {
                 break;
             }
-            let answer = self.supply.order(order, &self.owner, ORDER_PATIENCE).await;
-            self.tell(order, answer);
+            let answer = self.supply.order(order, &self.owner, ORDER_TIMEOUT).await;
+            self.report(order, answer);
             fenced = answer == SupplyAnswer::Fenced;
         }
-        SupplyAnswered { fenced }
+        SupplyOrdersOutcome { fenced }
     }
 
-    fn tell(&self, order: &SupplyOrder, answer: SupplyAnswer) {
+    fn report(&self, order: &SupplyOrder, answer: SupplyAnswer) {
         telemetry::engines_ordered(answer.word());
         events::emit(&Event::EnginesOrdered {
             service: order.service.as_str(),
--- a/crates/sloetrail-serving/src/owner/service_owner/texts.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/texts.rs
@@ -5,24 +5,27 @@
 use sloetrail_batch::{Checkpoint, TranscriptEvent};
 
 /// Bytes of text in one piece.
-const KEEP_BYTES: usize = 16 * 1024;
+const MAX_CHECKPOINT_BYTES: usize = 16 * 1024;
 
 impl ServiceOwner {
     /// Has the new events of every running item committed.
-    pub(super) fn keep_texts(&mut self) {
+    pub(super) fn checkpoint_texts(&mut self) {
         for (id, open) in &mut self.batches {
             for (index, run) in &mut open.runs {
-                let events = first_bytes(run.progress.events_after(run.kept), KEEP_BYTES);
+                let events = take_events(
+                    run.progress.events_after(run.checkpointed_events),
+                    MAX_CHECKPOINT_BYTES,
+                );
                 if events.is_empty() {
                     continue;
                 }
                 let checkpoint = Checkpoint {
                     index: *index,
                     generation: open.batch.item(*index).generation,
-                    offset: run.kept,
+                    offset: run.checkpointed_events,
                     events,
                 };
-                run.kept += checkpoint.events.len();
+                run.checkpointed_events += checkpoint.events.len();
                 let request = CommitRequest::Keep {
                     batch: id.clone(),
                     checkpoint,
@@ -35,11 +38,11 @@
 }
 
 /// The first events that together hold at most so many bytes, at least one.
-fn first_bytes(events: Vec<TranscriptEvent>, bytes: usize) -> Vec<TranscriptEvent> {
-    let mut held = 0;
+fn take_events(events: Vec<TranscriptEvent>, max_bytes: usize) -> Vec<TranscriptEvent> {
+    let mut total = 0;
     let fits = |(index, event): &(usize, TranscriptEvent)| {
-        held += event.data.len();
-        *index == 0 || held <= bytes
+        total += event.data.len();
+        *index == 0 || total <= max_bytes
     };
     let fitting = events.into_iter().enumerate().take_while(fits);
     fitting.map(|(_, event)| event).collect()
--- a/crates/sloetrail-serving/src/owner/service_owner/versions.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/versions.rs
@@ -14,18 +14,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const ORDER_RETRY: Duration = Duration::from_millis(150);
-const ORDER_RETRY_UNANSWERED: Duration = Duration::from_millis(700);
-const ORDER_SEND_TIME: Duration = Duration::from_millis(140);
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(150);
+const UNANSWERED_ORDER_RETRY_DELAY: Duration = Duration::from_millis(700);
+const ORDER_SEND_TIMEOUT: Duration = Duration::from_millis(140);
 
 /// How far samples may be behind the newest version until a batch has told.
-const LAG_DEFAULT: u64 = 1;
+const DEFAULT_VERSION_LAG: u64 = 1;
 
 /// Weight of a batch in what is known of its model's work.
-const WORK_SMOOTHING: f64 = 0.3;
+const TOKENS_SMOOTHING: f64 = 0.3;
 
 impl ServiceOwner {
-    pub(super) fn note_versions_of_runs(&mut self) {
+    pub(super) fn record_run_versions(&mut self) {
         for open in self.batches.values() {
             let Some(model) = &open.batch.model else {
                 continue;
@@ -42,12 +42,12 @@
     }
 
     /// Gives the orders that are due, within a window that was committed before.
-    pub(super) fn drive_weights(&mut self) {
+    pub(super) fn order_weight_changes(&mut self) {
         if !self.set.is_in_charge_of_engines() {
             return;
         }
-        let least = self.context.settings.bounds.concurrent_loads;
-        let concurrent = concurrent_changes(self.engines.len(), least);
+        let min_concurrent = self.context.settings.bounds.concurrent_loads;
+        let concurrent = concurrent_changes(self.engines.len(), min_concurrent);
         let targets = self.model_targets();
         let orders = plan(&self.engines, &targets, concurrent, BootInstant::now());
         if orders.is_empty() {
@@ -69,7 +69,7 @@
                 back_end: Arc::clone(&engine.back_end),
                 order,
                 change,
-                send_before: BootInstant::now() + ORDER_SEND_TIME,
+                send_before: BootInstant::now() + ORDER_SEND_TIMEOUT,
                 events: self.sender.clone(),
             };
             tokio::spawn(task.run());
@@ -78,7 +78,7 @@
 
     /// Has a window opened without waiting for the table, which may be slow or down.
     pub(super) fn open_window(&mut self) {
-        if std::mem::replace(&mut self.window_is_opening, true) {
+        if std::mem::replace(&mut self.is_opening_window, true) {
             return;
         }
         let mut window = self.window.clone();
@@ -88,13 +88,13 @@
         tokio::spawn(async move {
             window.open(&context, &term).await;
             // The owner may be gone; then nobody needs it.
-            let _ = sender.send(OwnerEvent::WindowAnswered(window));
+            let _ = sender.send(OwnerEvent::WindowOpenEnded(window));
         });
     }
 
-    pub(super) fn window_answered(&mut self, window: OrderWindow) {
+    pub(super) fn window_open_ended(&mut self, window: OrderWindow) {
         self.window = window;
-        self.window_is_opening = false;
+        self.is_opening_window = false;
         self.weights_due = true;
     }
 
@@ -131,13 +131,17 @@
     /// The oldest version that the newest batch of a model can use, or the next one
     /// that its trainer submits if it keeps its distance from the newest version.
     fn needed_version(&self, model: &str, published: WeightVersion) -> WeightVersion {
-        let lag = self.lags.get(model).copied().unwrap_or(LAG_DEFAULT);
+        let lag = self
+            .version_lags
+            .get(model)
+            .copied()
+            .unwrap_or(DEFAULT_VERSION_LAG);
         let expected = published.0.saturating_sub(lag);
         let open = self.batches.values();
         let of_model = open.filter(|open| open.batch.model.as_deref() == Some(model));
         let demanded = of_model.map(|open| open.batch.oldest_version).max();
-        let by_others = self.others.demanded_version(model);
-        let demanded = demanded.max(by_others).unwrap_or_default();
+        let by_other_batches = self.other_batches.demanded_version(model);
+        let demanded = demanded.max(by_other_batches).unwrap_or_default();
         WeightVersion(expected).max(demanded)
     }
 
@@ -146,19 +150,23 @@
     pub(super) fn model_shares(&self) -> Vec<ModelShare> {
         let published = Arc::clone(&self.context.in_force.borrow().published);
         let models = self.models();
-        let known: Vec<f64> = models
+        let known_tokens: Vec<f64> = models
             .iter()
-            .filter_map(|model| self.work.get(model).copied())
+            .filter_map(|model| self.expected_tokens.get(model).copied())
             .collect();
-        let usual = match known.is_empty() {
+        let mean_tokens = match known_tokens.is_empty() {
             true => 1.0,
-            false => known.iter().sum::<f64>() / known.len() as f64,
+            false => known_tokens.iter().sum::<f64>() / known_tokens.len() as f64,
         };
         let models = models.into_iter();
         models
             .map(|model| ModelShare {
                 published: published.get(&model).copied().unwrap_or_default(),
-                work: self.work.get(&model).copied().unwrap_or(usual),
+                work: self
+                    .expected_tokens
+                    .get(&model)
+                    .copied()
+                    .unwrap_or(mean_tokens),
                 model,
             })
             .collect()
@@ -166,31 +174,31 @@
 
     /// Notes that a batch has come, and how far behind the newest version it allows its
     /// samples to be.
-    pub(super) fn note_demand(
+    pub(super) fn record_version_demand(
         &mut self,
         model: &str,
         oldest_version: WeightVersion,
         header: &BatchHeader,
     ) {
         self.weights_due = true;
-        self.supply.note_batch(model, header);
+        self.supply.record_batch(model, header);
         let published = Arc::clone(&self.context.in_force.borrow().published);
         if let Some(published) = published.get(model) {
             let lag = published.0.saturating_sub(oldest_version.0);
-            self.lags.insert(model.to_owned(), lag);
+            self.version_lags.insert(model.to_owned(), lag);
         }
     }
 
     /// Notes what a batch demands, and how much work it is.
-    pub(super) fn note_batch(&mut self, batch: &Batch) {
+    pub(super) fn record_batch(&mut self, batch: &Batch) {
         let Some(model) = &batch.model else {
             return;
         };
-        self.note_demand(model, batch.oldest_version, &batch.header);
+        self.record_version_demand(model, batch.oldest_version, &batch.header);
         let tokens: u64 = batch.items().iter().map(|item| item.expected_length).sum();
-        let work = (tokens as f64).max(1.0);
-        let known = self.work.entry(model.clone()).or_insert(work);
-        *known += (work - *known) * WORK_SMOOTHING;
+        let new = (tokens as f64).max(1.0);
+        let smoothed = self.expected_tokens.entry(model.clone()).or_insert(new);
+        *smoothed += (new - *smoothed) * TOKENS_SMOOTHING;
         self.assign_models();
     }
 
@@ -198,14 +206,14 @@
     /// each sample from one version.
     fn version_change(&self) -> VersionChange {
         let configuration = self.context.configuration();
-        let wants_one = configuration.is_some_and(|configuration| {
+        let requires_single_version = configuration.is_some_and(|configuration| {
             configuration.routes.iter().any(|route| {
                 let serves =
                     |part: &sloetrail_routing::WeightedService| part.service == self.service;
                 route.single_version && route.services.iter().any(serves)
             })
         });
-        match wants_one {
+        match requires_single_version {
             true => VersionChange::Wait,
             false => VersionChange::Continue,
         }
@@ -238,10 +246,10 @@
             }
             Some(OrderAnswer::Fenced) => self.term.ended.cancel(),
             Some(OrderAnswer::Conflict | OrderAnswer::Refused) => {
-                engine.order_not_before = now + ORDER_RETRY;
+                engine.order_not_before = now + ORDER_RETRY_DELAY;
             }
-            None if is_busy => engine.order_not_before = now + ORDER_RETRY,
-            None => engine.order_not_before = now + ORDER_RETRY_UNANSWERED,
+            None if is_busy => engine.order_not_before = now + ORDER_RETRY_DELAY,
+            None => engine.order_not_before = now + UNANSWERED_ORDER_RETRY_DELAY,
         }
     }
 }
