--- a/crates/sloetrail-serving/src/batch_rows.rs
+++ b/crates/sloetrail-serving/src/batch_rows.rs
@@ -1,4 +1,4 @@
-//! Reading batches from the table.
+//! Reads batches, their submissions, results and checkpoints from the table.
 
 use crate::rows;
 use crate::table::{KeyRange, ReadError, Row, Table, after_key, read_row, scan_all};
@@ -9,7 +9,8 @@
 use sloetrail_types::RowVersion;
 use std::collections::BTreeMap;
 
-/// The head of a batch with its row's version; nothing if the batch is not accepted.
+/// Returns the header of a batch with the version of its row. None if no batch with this id was
+/// accepted.
 pub async fn read_header(
     table: &dyn Table,
     id: &str,
@@ -21,19 +22,19 @@
     Ok(Some((header, row.version)))
 }
 
-/// The stored form of a head.
 pub fn encode_header(header: &BatchHeader) -> Bytes {
     let mut encoded = Vec::new();
-    ciborium::into_writer(header, &mut encoded).expect("memory takes every write");
+    ciborium::into_writer(header, &mut encoded).expect("writing to a Vec cannot fail");
     Bytes::from(encoded)
 }
 
-/// Reads the stored form of a head.
+/// None if the bytes are not a valid header.
 pub fn decode_header(stored: &[u8]) -> Option<BatchHeader> {
     ciborium::from_reader(stored).ok()
 }
 
-/// A submission as it was sent; nothing if not all of its parts are there.
+/// Returns the body of a submission, joined from its rows. None if any of the `parts` rows is
+/// missing.
 pub async fn read_submission(
     table: &dyn Table,
     id: &str,
@@ -50,7 +51,7 @@
     Ok(Some(joined.freeze()))
 }
 
-/// One page of listed results from a position on.
+/// Returns one page of listed results, starting at `position`.
 pub async fn read_results(
     table: &dyn Table,
     id: &str,
@@ -59,8 +60,8 @@
     let range = rows::results_from(id, position);
     let mut page = table.scan(&range).await?;
     while page.more {
-        // A page may end within a result; the next one is read as well until a
-        // result is whole.
+        // A page may end in the middle of a result that spans several rows. Reads on until at
+        // least one result is complete.
         if let Some(results) = join_results(&page.rows, true) {
             return Ok(results);
         }
@@ -78,16 +79,15 @@
     Ok(join_results(&page.rows, false).unwrap_or_default())
 }
 
-/// What earlier owners have kept of the items of a batch that are not listed.
+/// State that earlier owners stored for the unlisted items of a batch.
 #[derive(Debug, Default)]
 pub struct CheckpointedWork {
-    /// The texts that were being made, with their generations.
+    /// Partial texts with their generations.
     pub texts: BTreeMap<ItemIndex, (u32, Transcript)>,
-    /// How many runs have failed of each item of which some have.
+    /// Number of failed runs; items without failed runs are absent.
     pub failed_runs: BTreeMap<ItemIndex, usize>,
 }
 
-/// Reads what earlier owners have kept of the items of a batch that are not listed.
 pub async fn read_checkpointed_work(
     table: &dyn Table,
     id: &str,
@@ -111,9 +111,9 @@
     })
 }
 
-/// Joins the rows of each position. With `is_cut` the last position may not be
-/// whole and is left out; nothing if no whole one remains.
-fn join_results(rows: &[Row], is_cut: bool) -> Option<Vec<ListedResult>> {
+/// Joins the rows of each position into results. With `is_truncated` the last position may be
+/// incomplete and is omitted. None if no complete result remains.
+fn join_results(rows: &[Row], is_truncated: bool) -> Option<Vec<ListedResult>> {
     let mut joined: Vec<(usize, BytesMut)> = Vec::new();
     for row in rows {
         let position = rows::position_of(&row.address.key)?;
@@ -122,7 +122,7 @@
             _ => joined.push((position, BytesMut::from(&row.value[..]))),
         }
     }
-    if is_cut {
+    if is_truncated {
         joined.pop();
     }
     if joined.is_empty() {
--- a/crates/sloetrail-serving/src/owner/event.rs
+++ b/crates/sloetrail-serving/src/owner/event.rs
@@ -1,4 +1,4 @@
-//! What the parts of an owner tell it.
+//! Events that the tasks of an owner send to its loop.
 
 use super::loading::LoadedBatch;
 use super::reward::RewardOutcome;
@@ -11,46 +11,35 @@
 use sloetrail_types::{EngineId, WeightVersion};
 use std::time::Duration;
 
-/// What happens to an owner.
 pub(super) enum OwnerEvent {
-    /// A batch has been loaded, or could not be.
+    /// Loading a batch ended; None if it could not be loaded.
     BatchLoaded(BatchId, Box<Option<LoadedBatch>>),
-    /// A run of an item has ended.
     RunEnded {
-        /// The batch.
         batch: BatchId,
-        /// The item's place in its submission.
         index: ItemIndex,
-        /// The engine.
         engine: EngineId,
-        /// How it ended.
         outcome: RunOutcome,
-        /// The text as far as it came.
+        /// The text so far, including events of earlier runs.
         transcript: Transcript,
-        /// How long it took.
         took: Duration,
     },
-    /// The table was asked for a trial of an item that is kept from engines; its passage is
-    /// on trial if it may be tried.
+    /// A request for a trial of a quarantined item ended. The permit is on trial if it was
+    /// granted.
     TrialDecided((BatchId, ItemIndex), Box<Passage>),
-    /// A try to score a text has ended.
     RewardEnded(Scoring, RewardOutcome),
-    /// A result was committed.
     Committed(Committed),
-    /// The window for orders was opened, or could not be.
+    /// An attempt to open the order window ended; the window may still be closed.
     WindowOpenEnded(OrderWindow),
-    /// An order was given, or could not be.
+    /// An attempt to order a weight version from an engine ended.
     OrderEnded(WeightOrderOutcome),
-    /// How many engines there were before any were ordered; nothing if the table did not
-    /// tell.
+    /// The engine count before any order; None if the table could not be read or written.
     BaselineRead(Option<usize>),
-    /// The number of engines was ordered, or could not be.
+    /// Orders for engine counts ended.
     SupplyOrdersEnded(SupplyOrdersOutcome),
-    /// What the batches take of the engines was written down, or could not be.
+    /// A write of the set's slot demand ended.
     DemandWritten(DemandWriteOutcome),
 }
 
-/// A result that was committed.
 pub(super) struct Committed {
     pub(super) batch: BatchId,
     pub(super) index: ItemIndex,
@@ -59,7 +48,7 @@
     pub(super) took: Duration,
 }
 
-/// An order that should be given.
+/// An order to an engine to load a weight version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct PlannedOrder {
     pub(super) engine: EngineId,
@@ -67,36 +56,34 @@
     pub(super) version: WeightVersion,
 }
 
-/// What became of an order.
 #[derive(Clone, Debug)]
 pub(super) struct WeightOrderOutcome {
     pub(super) order: PlannedOrder,
-    /// What the engine said of itself before; nothing if it did not answer.
+    /// The engine's status before the order; None if it did not answer.
     pub(super) status: Option<EngineStatus>,
-    /// Its answer to the order; nothing if none was sent or no answer came.
+    /// None if no order was sent or no answer arrived.
     pub(super) answer: Option<OrderAnswer>,
 }
 
-/// What became of orders for numbers of engines that were given together.
+/// Outcome of a series of orders for engine counts.
 #[derive(Debug)]
 pub(super) struct SupplyOrdersOutcome {
-    /// A later holder has given orders already.
+    /// A later lease holder has already sent orders.
     pub(super) fenced: bool,
 }
 
-/// What became of a row that tells what the batches take of the engines.
+/// Outcome of a write of a slot demand row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DemandWriteOutcome {
-    /// It is in the table.
     Done,
-    /// It may not be.
+    /// The table did not answer; the row may or may not be written.
     Unknown,
-    /// A later holder has the lease.
+    /// Another node holds the lease by now.
     Fenced,
 }
 
 impl DemandWriteOutcome {
-    /// A word for logs.
+    /// The label in log events.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             DemandWriteOutcome::Done => "written",
--- a/crates/sloetrail-serving/src/owner/item_timeline.rs
+++ b/crates/sloetrail-serving/src/owner/item_timeline.rs
@@ -1,60 +1,54 @@
-//! What has become of an item, as far as its owner has seen it: where its time went.
+//! Timeline of an item under one owner: when it waited, ran, was scored and committed.
 
 use sloetrail_clock::BootInstant;
 use std::time::Duration;
 
-/// The times of one item under one owner.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ItemTimeline {
     first_run_at: Option<BootInstant>,
     pub(super) runs: usize,
     running: Duration,
-    /// Events that its runs have made, those made again included.
+    /// Events that its runs generated, including repeated ones.
     pub(super) generated_events: usize,
     text_completed_at: Option<BootInstant>,
     scored_at: Option<BootInstant>,
 }
 
-/// Where an item's time went, from the opening of its batch until it was listed. The
-/// parts add up to the whole.
+/// Durations of an item's phases. They add up to the time from the opening of its batch until
+/// it was listed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct ItemTimes {
-    /// From the opening of the batch to the first run.
+    /// From the opening of the batch until the first run.
     pub(super) waiting: Duration,
-    /// At engines.
     pub(super) running: Duration,
-    /// At no engine, between two runs.
+    /// On no engine, after the first run began and before the text was complete.
     pub(super) between_runs: Duration,
-    /// Being scored.
     pub(super) scoring: Duration,
-    /// Being committed.
     pub(super) committing: Duration,
 }
 
 impl ItemTimeline {
-    /// A run has begun.
     pub(super) fn run_started(&mut self, now: BootInstant) {
         self.first_run_at.get_or_insert(now);
         self.runs += 1;
     }
 
-    /// A run has ended that took this long and made so many events.
+    /// Adds a run's duration and the number of events that it generated.
     pub(super) fn run_ended(&mut self, took: Duration, events: usize) {
         self.running += took;
         self.generated_events += events;
     }
 
-    /// The text is whole.
     pub(super) fn text_completed(&mut self, now: BootInstant) {
         self.text_completed_at = Some(now);
     }
 
-    /// The result has gone to be committed.
+    /// Marks the end of scoring, when the result is sent to the committer.
     pub(super) fn scored(&mut self, now: BootInstant) {
         self.scored_at = Some(now);
     }
 
-    /// Where the time went, if the batch was opened then and the item is listed now.
+    /// Splits the time from `opened` to `listed` into phases.
     pub(super) fn times(&self, opened: BootInstant, listed: BootInstant) -> ItemTimes {
         let first = self.first_run_at.unwrap_or(listed);
         let scored = self.scored_at.unwrap_or(listed);
--- a/crates/sloetrail-serving/src/owner/mod.rs
+++ b/crates/sloetrail-serving/src/owner/mod.rs
@@ -1,12 +1,12 @@
-//! The owner of a service's batches: one node at a time for each set of regions to which
-//! batches are bound.
+//! The owner of a service's batches. There is one owner at a time for each set of regions to
+//! which batches are bound.
 //!
-//! The holder of the lease of such a [`BatchSet`] ([`crate::leases`]) runs a
-//! [`service_owner::ServiceOwner`]: it loads the open batches from the table, sends items
-//! to engines ([`run`]), has whole texts scored ([`reward_queue`], [`reward`]), commits results in groups
-//! ([`committer`]) and brings the engines to the published versions ([`rollout_plan`],
-//! [`weights`]). Only the owner of the batches that may be anywhere gives orders to engines; the
-//! others tell it what their batches take ([`place_demand`]).
+//! The node that holds the lease of a [`BatchSet`] ([`crate::leases`]) runs a
+//! [`service_owner::ServiceOwner`]. It loads open batches from the table, sends items to engines
+//! ([`run`]), has complete texts scored ([`reward_queue`], [`reward`]), commits results in
+//! groups ([`committer`]) and brings engines to the published weight versions ([`rollout_plan`],
+//! [`weights`]). Only the owner of unbound batches sends orders to engines; the other owners
+//! report their slot demand to it ([`place_demand`]).
 
 mod assignment;
 mod batch_turns;
@@ -35,11 +35,9 @@
 use futures_util::future::BoxFuture;
 use std::sync::Arc;
 
-/// What the holder of the lease of batches does: it owns them.
+/// The task of the node that holds the lease of a batch set.
 pub(crate) struct BatchOwnerTask {
-    /// The node's parts.
     pub(crate) context: Arc<NodeContext>,
-    /// The batches.
     pub(crate) set: BatchSet,
 }
 
--- a/crates/sloetrail-serving/src/owner/service_owner.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner.rs
@@ -1,4 +1,4 @@
-//! The owner of a service, for one term: its loop, and the batches that it has open.
+//! The owner of a batch set during one lease term: its event loop and open batches.
 
 mod batches;
 mod demand;
@@ -41,33 +41,32 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 const VIEW_POLL_DELAY: Duration = Duration::from_millis(5);
-const SWEEP_PERIOD: Duration = Duration::from_secs(5);
-/// How often the texts that are being made are kept in the table.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 const CHECKPOINT_INTERVAL: Duration = Duration::from_millis(500);
-/// Texts are not kept while the table is slower than this: results go first.
+/// No checkpoints are written while the table is slower than this, so that results do not wait
+/// behind them.
 const MAX_CHECKPOINT_TABLE_LATENCY: Duration = Duration::from_millis(100);
 
-/// A model's slots are plentiful while its open items would take this part of them at most:
-/// half of its engines may be changing their weights.
+/// Slots of a model are plentiful if there are at least this many for each open item, since half
+/// of the engines may be changing weights.
 const MIN_PLENTIFUL_SLOTS_PER_ITEM: usize = 2;
 
-/// Places at engines that an owner holds for each item that runs at a time. Half of a model's
-/// engines change their weights while its items run at the others. Where the directory is held
-/// whole there are no more to be had.
+/// Slots requested from the directory for each concurrent item, since half of a model's engines
+/// may be changing weights. Has no effect on a node that follows the whole directory.
 const SLOTS_PER_ITEM: usize = 2;
 
 struct ActiveRun {
     engine: EngineId,
     cancel: CancellationToken,
     progress: Arc<RunProgress>,
-    /// Events of the text that the table holds, or is about to hold.
+    /// Number of events that are in the table or on their way to it.
     checkpointed_events: usize,
     started_at: BootInstant,
-    /// True if the item came here from a slower engine.
+    /// True if the item was moved here from a slower engine.
     has_moved: bool,
-    /// The engine that the item goes on at once this run has been closed.
+    /// The engine on which the item continues after this run has been closed.
     move_target: Option<EngineId>,
 }
 
@@ -75,11 +74,10 @@
     batch: Batch,
     runs: HashMap<ItemIndex, ActiveRun>,
     estimate: BatchOutlook,
-    /// Events of the text of an item that the table holds, once one of its runs ended.
+    /// Number of events in the table, for items that were loaded with a text or had a run end.
     checkpointed_events: HashMap<ItemIndex, usize>,
     cancel: CancellationToken,
     opened_at: BootInstant,
-    /// The age of the batch when this owner opened it.
     age_at_open: Duration,
     timelines: HashMap<ItemIndex, ItemTimeline>,
 }
@@ -89,7 +87,6 @@
         self.age_at_open + self.opened_at.elapsed()
     }
 
-    /// Looks again at what is expected of the items.
     fn update_estimate(&mut self, lengths: &LengthModel) {
         let runs = &self.runs;
         let made = |index| {
@@ -107,7 +104,7 @@
         }
     }
 
-    /// True if as many items run as are worth running at a time.
+    /// True if the batch runs as many items as its estimated width.
     fn has_enough_runs(&self) -> bool {
         self.estimate
             .width
@@ -115,40 +112,38 @@
     }
 }
 
-/// The owner of a service, for one term.
+/// The owner of a batch set during one lease term.
 pub(super) struct ServiceOwner {
     context: Arc<NodeContext>,
     service: ServiceName,
-    /// The batches that it owns.
     set: BatchSet,
     term: Term,
     engines: EnginePool,
     batches: BTreeMap<BatchId, OpenBatch>,
-    /// What tenants have under way at the engines, brought up to date before items start.
+    /// Items in flight by tenant, recounted before each dispatch.
     shares: TenantShares,
-    /// Batches that are open, being loaded, ended or unusable.
+    /// Batches that are open, loading, ended or owned by another owner.
     known_batches: HashSet<BatchId>,
-    /// Those of other owners of the service.
     other_batches: OtherBatches,
-    /// Items that ended batches left over, with the text kept.
+    /// Partial texts of items that were unfinished when their batch ended.
     leftover_texts: BTreeMap<ItemId, Transcript>,
-    /// By model, how many versions behind the newest one its last batch allows.
+    /// By model, how many versions behind the newest its last batch allowed.
     version_lags: BTreeMap<String, u64>,
-    /// Whole texts that are to be scored.
+    /// Complete texts that wait for their score.
     rewards: RewardQueue,
     usage: PlaceUsage,
     lengths: LengthModel,
-    /// Items under which engines crash.
+    /// Items that are suspected of crashing engines.
     quarantined: QuarantinedItems,
     publications: Publications,
-    /// By model, the work of its last batch in expected tokens.
+    /// By model, a moving average of the expected tokens of its batches.
     expected_tokens: BTreeMap<String, f64>,
-    /// True if something has changed that orders to engines depend on.
+    /// True if something that weight orders depend on has changed.
     weights_due: bool,
     window: OrderWindow,
     is_opening_window: bool,
     supply: SupplyState,
-    /// What the batches take of the engines, if another owner orders these.
+    /// Reports slot demand if another owner controls the engine count.
     demand: DemandReporter,
     events: mpsc::UnboundedReceiver<OwnerEvent>,
     sender: mpsc::UnboundedSender<OwnerEvent>,
@@ -157,7 +152,7 @@
     checkpointed_at: BootInstant,
 }
 
-/// Waits until texts may be scored again that rest now.
+/// Sleeps until `due`; forever if it is None.
 async fn sleep_until_due(due: Option<BootInstant>) {
     match due {
         Some(due) => sloetrail_clock::sleep_until(due).await,
@@ -202,14 +197,14 @@
         }
     }
 
-    /// Works until the term is over.
+    /// Runs until the term ends or is released.
     pub(super) async fn run(mut self) {
         let mut batches = self.follow(rows::BATCHES);
         let mut ends = self.follow(rows::ENDS);
         let mut directory = self.context.directory.clone();
         let mut in_force = self.context.in_force.clone();
         let mut leased_sets = self.context.leased_sets.clone();
-        let mut tick = tokio::time::interval(TICK);
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut swept_at = BootInstant::now();
         directory.mark_changed();
@@ -243,7 +238,7 @@
             if std::mem::take(&mut self.weights_due) {
                 self.order_weight_changes();
             }
-            if swept_at.elapsed() > SWEEP_PERIOD {
+            if swept_at.elapsed() > SWEEP_INTERVAL {
                 swept_at = BootInstant::now();
                 let view = batches.borrow().clone();
                 tokio::spawn(sweeper::sweep(
@@ -263,13 +258,12 @@
         }
     }
 
-    /// Keeps every text as far as it has come and ends the runs, so that the next
-    /// owner goes on from there.
+    /// Cancels all runs and checkpoints their texts, so that the next owner can continue them.
     async fn hand_over(mut self) {
         self.cancel_runs();
         self.checkpoint_texts();
         drop(self.commits);
-        // The keeper bounds the time; a term that is lost has nothing to commit.
+        // The lease keeper bounds the wait. After a lost term nothing can be committed.
         let _ = self.committing.await;
     }
 
@@ -290,7 +284,7 @@
         self.assign_models();
     }
 
-    /// Takes in which engines are cold or lie in an evacuated zone.
+    /// Updates which engines are cold or in an evacuated zone.
     fn refresh_send_limits(&mut self) {
         let directory = self.context.directory.borrow().clone();
         let in_force = self.context.in_force.borrow().clone();
@@ -407,9 +401,9 @@
         }
     }
 
-    /// Finds out how many items of each batch are worth running at a time, and which decide
-    /// when it is done. Where slots are not plentiful, none is left free on purpose, and each
-    /// item goes to the fastest engine: it is work that ends a step there, not its longest text.
+    /// Estimates how many items of each batch to run at a time and which of them are critical.
+    /// Without plentiful slots the batch width is not limited, since total work rather than the
+    /// longest text determines when a step ends.
     fn update_estimates(&mut self) {
         if !self.context.settings.policies.bounded_batch_width {
             return;
@@ -432,7 +426,7 @@
         }
     }
 
-    /// Has the items go to engines in the order that fits how scarce slots are.
+    /// Sets the dispatch order of each batch according to how scarce slots are.
     fn set_dispatch_orders(&mut self) {
         let policies = self.context.settings.policies;
         for open in self.batches.values_mut() {
--- a/crates/sloetrail-serving/src/owner/service_owner/batches.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/batches.rs
@@ -1,4 +1,4 @@
-//! The batches of an owner: taken in, loaded, ended, and items past their time.
+//! Discovery, loading, closing and expiry of batches.
 
 use super::{OpenBatch, ServiceOwner};
 use crate::batch_rows::decode_header;
@@ -14,13 +14,13 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// An item is given up only this much after its retention.
+/// Delay between the end of an item's retention and its expiry.
 const RETENTION_MARGIN_MS: u64 = 2_000;
-/// Items that ended batches left over and that may come again.
+/// Leftover texts are discarded when a batch ends while there are more than this.
 const MAX_LEFTOVER_TEXTS: usize = 20_000;
 
 impl ServiceOwner {
-    /// Takes in the heads of batches and the marks of ended ones.
+    /// Applies new batch headers and end marks.
     pub(super) fn apply_batches(&mut self, batches: &mut ViewReceiver, ends: &mut ViewReceiver) {
         let batches = batches.borrow_and_update().clone();
         let ends = ends.borrow_and_update().clone();
@@ -65,7 +65,7 @@
             .retain(|id| batches.rows.contains_key(id) && !ends.rows.contains_key(id));
     }
 
-    /// A batch that another owner of the service runs counts for the engines' weights.
+    /// Records a batch of another owner, since its version demand counts for weight orders.
     fn record_other_batch(&mut self, id: BatchId, header: BatchHeader) {
         if !self.set.is_in_charge_of_engines() {
             return;
@@ -83,14 +83,14 @@
         let sender = self.sender.clone();
         tokio::spawn(async move {
             let loaded = load(&context, &to_load, &leftover_ids, &ended).await;
-            // The owner may be gone; then nobody needs it.
+            // The receiver is gone if the term has ended.
             let _ = sender.send(OwnerEvent::BatchLoaded(to_load.id, Box::new(loaded)));
         });
     }
 
     pub(super) fn open_batch(&mut self, id: BatchId, loaded: Option<LoadedBatch>) {
         let Some(LoadedBatch { mut batch, listed }) = loaded else {
-            // Its parts may still be on their way; the next change looks again.
+            // Some rows may not have arrived yet. The next change of the view retries.
             self.known_batches.remove(&id);
             return;
         };
@@ -113,7 +113,7 @@
             batch: id.clone(),
             next_position: listed,
         };
-        // The committer ends only with the term.
+        // The committer stops only when the term ends.
         let _ = self.commits.send(opened);
         let open = OpenBatch {
             batch,
@@ -129,8 +129,8 @@
         self.update_estimates();
     }
 
-    /// Goes on with texts that an ended batch left over, if their versions fit and
-    /// the table holds none for the item in this batch.
+    /// Continues leftover texts of an ended batch, if their versions are acceptable and the item
+    /// has no checkpoint in this batch.
     fn reuse_leftover_texts(&mut self, batch: &mut Batch) {
         if !self.context.settings.policies.reuse_texts {
             return;
@@ -144,7 +144,7 @@
             let mixes = batch.header.single_version && transcript.versions().len() > 1;
             let is_usable = transcript.is_fresh(oldest) && !mixes && item.transcript.is_empty();
             if is_usable {
-                // The first piece that is kept holds the whole text, under offset zero.
+                // A new generation, so that its first checkpoint stores the whole text at offset 0.
                 let generation = item.generation + 1;
                 batch.restore(index, generation, transcript);
             }
@@ -203,7 +203,7 @@
     }
 }
 
-/// How many events of each unfinished item's text a batch was loaded with.
+/// Number of events with which each unfinished item was loaded; items without any are absent.
 fn checkpointed_event_counts(batch: &Batch) -> HashMap<ItemIndex, usize> {
     let unfinished = batch.unfinished().into_iter();
     unfinished
--- a/crates/sloetrail-serving/src/owner/service_owner/demand.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/demand.rs
@@ -1,4 +1,4 @@
-//! What the bound batches of an owner take of the engines, told to the one that orders these.
+//! Reports the slot demand of region-bound batches to the owner that orders engines.
 
 use super::ServiceOwner;
 use crate::context::NodeContext;
@@ -12,8 +12,7 @@
 use std::sync::Arc;
 
 impl ServiceOwner {
-    /// Writes down what the batches take of the engines, if that is due and engines can be
-    /// ordered at all.
+    /// Writes the slot demand row if it is due and engines can be ordered.
     pub(super) fn report_demand(&mut self) {
         if self.set.is_in_charge_of_engines() || self.engine_supply().is_none() {
             return;
@@ -42,12 +41,12 @@
         let sender = self.sender.clone();
         tokio::spawn(async move {
             let outcome = write_demand(&context, &term, &row).await;
-            // The owner may be gone; then nobody needs it.
+            // The receiver is gone if the term has ended.
             let _ = sender.send(OwnerEvent::DemandWritten(outcome));
         });
     }
 
-    /// The row of the set as this node knows it, of whichever owner.
+    /// The set's row in this node's view, whichever owner wrote it.
     fn stored_demand(&self) -> StoredDemand {
         let view = self.context.leases.borrow().clone();
         let address = rows::place_demand(self.term.subject.name());
--- a/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which item goes to which engine, and when it is taken away again.
+//! Dispatches items to engines.
 
 use super::{ActiveRun, OpenBatch, ServiceOwner};
 use crate::back_end::BackEnd;
@@ -14,16 +14,17 @@
 use sloetrail_types::EngineId;
 use std::sync::Arc;
 
-/// Ranks at an engine: items of groups that the trainer waits for, and the others.
+/// Priorities at the engine of items in required groups and of other items. Lower values run
+/// first.
 const PRIORITY_REQUIRED: u8 = 5;
 const PRIORITY_OTHER: u8 = 7;
-/// The rank of items that are started while the lease has not been confirmed for longer
-/// than it lasts: another owner, if there is one, displaces them.
+/// Priority of items that are started while the lease is unconfirmed for longer than its
+/// duration, so that items of a newer owner displace them.
 const PRIORITY_UNCONFIRMED: u8 = 9;
 
 impl ServiceOwner {
-    /// Starts items while there are engines for them: first the items of groups that
-    /// trainers wait for, of all batches in their turns, then the others.
+    /// Starts items while engines have free slots: first the required items of all batches in
+    /// turn, then the other items.
     pub(super) fn dispatch_items(&mut self) {
         if !self.context.pause_guard.is_settled() {
             return;
@@ -53,10 +54,10 @@
         }
     }
 
-    /// Starts the next item of a batch; false if none waits or no engine takes it.
+    /// Starts the next item of a batch. False if no item waits or no engine can take it.
     fn start_next_item(&mut self, id: &BatchId, required: bool) -> bool {
         let priority = self.priority(required);
-        self.set_quarantined_aside(id);
+        self.set_aside_quarantined(id);
         let Some(open) = self.batches.get(id) else {
             return false;
         };
@@ -82,7 +83,7 @@
         next.is_some_and(|index| self.start_item_on(id, index, engine_id, priority))
     }
 
-    /// What counts for an item that is to be sent to an engine.
+    /// Returns how to choose an engine for an item.
     fn preference(&self, open: &OpenBatch, index: Option<ItemIndex>) -> EnginePreference {
         let policies = self.context.settings.policies;
         let item = index.map(|index| open.batch.item(index));
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Starts an item that waits on an engine; false if either is not there.
+    /// Starts a waiting item on an engine. False if the item does not wait or the engine is gone.
     pub(super) fn start_item_on(
         &mut self,
         id: &BatchId,
@@ -177,7 +178,7 @@
                 transcript: progress.transcript(),
                 took: started_at.elapsed(),
             };
-            // The owner may be gone; then nobody needs it.
+            // The receiver is gone if the term has ended.
             let _ = sender.send(ended);
         });
     }
--- a/crates/sloetrail-serving/src/owner/service_owner/other_batches/tests.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/other_batches/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn batches_of_others_count_for_their_model_until_they_end_or_their_time_is_over() {
+fn other_batches_count_until_they_end_or_time_out() {
     let mut others = OtherBatches::default();
     others.insert("b1".to_owned(), head("m", 3, 5_000));
     others.insert("b2".to_owned(), head("m", 4, 0));
@@ -35,7 +35,7 @@
     assert!(!others.any_active(31_000, |_| true));
     let is_n = |header: &BatchHeader| header.model.as_deref() == Some("n");
     assert!(others.any_active(30_999, is_n));
-    assert!(!others.any_active(30_999, |_| false), "none is meant");
+    assert!(!others.any_active(30_999, |_| false), "no batch matches");
     assert_eq!(others.demanded_version("m"), Some(WeightVersion(4)));
     others.retain(|id| id != "b2");
     assert_eq!(others.demanded_version("m"), Some(WeightVersion(3)));
--- a/crates/sloetrail-serving/src/owner/service_owner/quarantined_items.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/quarantined_items.rs
@@ -1,7 +1,8 @@
-//! Items that are kept from engines, since these crash under them.
+//! Quarantined items: items that are not sent to engines because engines crashed while running
+//! them.
 //!
-//! Such an item leaves the queue of its batch, so that the items behind it go on. It is not
-//! given up: it may be released, or turn out to be innocent when it is tried.
+//! A quarantined item is set aside from the queue of its batch, so that it does not block the
+//! items behind it. It returns to the queue when it is released or when a trial is granted.
 
 use super::ServiceOwner;
 use crate::owner::event::OwnerEvent;
@@ -11,23 +12,22 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a trial of an item may take: ordinary texts take one to three seconds.
 const TRIAL_TIMEOUT: Duration = Duration::from_secs(10);
 
 type ItemKey = (BatchId, ItemIndex);
 
-/// The items that an owner keeps from engines.
 #[derive(Default)]
 pub(super) struct QuarantinedItems {
     items: BTreeMap<ItemKey, Passage>,
-    /// Those that may be tried once.
+    /// Items in the queue that may run once, as a trial.
     on_trial: BTreeMap<ItemKey, Passage>,
-    /// True while the table is asked for a trial.
+    /// True while a request for a trial is in flight.
     is_trial_pending: bool,
 }
 
 impl ServiceOwner {
-    /// What lets an item go to engines.
+    /// Returns the permit that decides whether an item may be sent to engines. None if its batch
+    /// is not open.
     pub(super) fn quarantine_permit(&mut self, id: &BatchId, index: ItemIndex) -> Option<Passage> {
         let key = (id.clone(), index);
         if let Some(on_trial) = self.quarantined.on_trial.remove(&key) {
@@ -40,8 +40,8 @@
         Some(Passage::new(quarantine, &self.service, identity))
     }
 
-    /// Takes the items that are kept from engines off the head of a batch's queue.
-    pub(super) fn set_quarantined_aside(&mut self, id: &BatchId) {
+    /// Sets the quarantined items at the head of a batch's queue aside.
+    pub(super) fn set_aside_quarantined(&mut self, id: &BatchId) {
         if self.context.quarantine.judgement().is_empty(&self.service) {
             return;
         }
@@ -64,8 +64,7 @@
         }
     }
 
-    /// Puts the items back that may go to engines now, and asks for a trial of one that may be
-    /// tried.
+    /// Returns released items to their queues and requests a trial for one item that is eligible.
     pub(super) fn release_quarantined_items(&mut self) {
         let batches = &self.batches;
         self.quarantined
@@ -96,7 +95,7 @@
             permit
                 .ask_for_trial(BootInstant::now() + TRIAL_TIMEOUT)
                 .await;
-            // The owner may be gone; then nobody needs it.
+            // The receiver is gone if the term has ended.
             let _ = sender.send(OwnerEvent::TrialDecided(key, Box::new(permit)));
         });
     }
--- a/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
@@ -1,10 +1,9 @@
-//! Moving items to other engines: off those that are much slower than the others, and
-//! long texts to faster ones.
+//! Moves running items to faster engines.
 //!
-//! A step ends with its longest texts, and by then most places are free. A text that is
-//! being made on an engine slower than one with a free place is moved there if the time
-//! that this saves is worth reading it again: its run is closed, and it goes on after
-//! its last event. A place is kept for it meanwhile.
+//! A step ends when its longest texts are complete, and by then most slots are free. A text is
+//! moved to a faster engine with a free slot if the saved time outweighs the cost of processing
+//! its prefix again. A slot is reserved on the target, the run is closed, and the item continues
+//! on the target after its last event.
 
 use super::{ActiveRun, ServiceOwner};
 use crate::events::{self, Event};
@@ -15,34 +14,33 @@
 use sloetrail_types::EngineId;
 use std::time::Duration;
 
-/// A move must save at least this: reading the text again takes some tens of
-/// milliseconds, and what remains of a text is an estimate.
+/// Minimum time that a move must save, to cover processing the prefix again.
 const MIN_GAIN: Duration = Duration::from_millis(250);
-/// A run is not moved before: until then its engine's pace is that of earlier runs.
+/// Minimum duration of a run before its first move. Until then the engine's event interval reflects
+/// earlier runs.
 const MIN_RUN_TIME: Duration = Duration::from_millis(400);
-/// A text that has moved stays for this long: paces vary with the load.
+/// Minimum duration of a run after a move, since event intervals vary with load.
 const MIN_STAY: Duration = Duration::from_millis(1_500);
-/// A text is moved only if it has at least this share of what the longest of its batch has
-/// left. The batch is done no sooner if another one is, and each move closes a connection and
-/// has the text read again.
+/// A text is moved only if its remaining time is at least this share of the longest remaining
+/// time in its batch. Moving a shorter text would not complete the batch sooner.
 const MIN_CRITICAL_SHARE: f64 = 0.75;
 
-/// A run that would be done sooner elsewhere.
+/// A run that may be moved.
 struct Candidate {
     index: ItemIndex,
-    /// Events that are still expected.
+    /// Expected number of events that remain.
     remaining: f64,
-    /// Microseconds an event where it runs.
+    /// Event interval of the current engine.
     event_interval_us: u64,
 }
 
 impl Candidate {
-    /// The time that it takes where it runs, in microseconds.
-    fn time_left(&self) -> f64 {
+    /// Expected time until completion on the current engine.
+    fn time_left_us(&self) -> f64 {
         self.event_interval_us as f64 * self.remaining
     }
 
-    /// The time that going on at an engine saves, if it is clearly faster.
+    /// Expected time saved by continuing on `engine`. None if it is not clearly faster.
     fn gain_on(&self, engine: &FreeEngine) -> Option<Duration> {
         let is_clearly_faster = self.event_interval_us as f64 > engine.pace as f64 * PACE_STEP;
         let saved = self.event_interval_us.saturating_sub(engine.pace) as f64 * self.remaining;
@@ -51,8 +49,8 @@
 }
 
 impl ServiceOwner {
-    /// Gives up runs on slow engines while others have free places; they go on there
-    /// from the text that is kept.
+    /// Cancels runs on slow engines while fast engines have free slots. The items continue there
+    /// from the text so far.
     pub(super) fn move_from_slow_engines(&mut self, now: BootInstant) {
         for open in self.batches.values() {
             let demand = Demand {
@@ -74,8 +72,8 @@
         }
     }
 
-    /// Closes the runs of long texts that would be done sooner on a faster engine with
-    /// a free place.
+    /// Closes the runs of long texts that would complete sooner on a faster engine with a free
+    /// slot.
     pub(super) fn move_long_texts(&mut self, now: BootInstant) {
         if !self.context.settings.policies.move_long_texts {
             return;
@@ -123,7 +121,7 @@
         }
     }
 
-    /// Goes on with an item whose run was closed so that it can move.
+    /// Continues an item on the engine where a slot was reserved for its move.
     pub(super) fn resume_at(&mut self, id: &BatchId, index: ItemIndex, engine: EngineId) {
         self.engines.release_place(Some(&engine));
         let Some(open) = self.batches.get(id) else {
@@ -135,7 +133,7 @@
         };
         let required = open.batch.is_wanted(index);
         let target = self.engines.get(&engine);
-        // Otherwise it waits and goes wherever there is room.
+        // If the target cannot take the item, it waits in the queue for any engine.
         if target.is_some_and(|engine| engine.can_take(demand, BootInstant::now())) {
             let priority = self.priority(required);
             self.start_item_on(id, index, engine, priority);
@@ -151,14 +149,16 @@
     }
 }
 
-/// Leaves the texts that decide when their batch is done, the longest first.
+/// Retains the texts that determine when their batch completes, sorted by remaining time, longest
+/// first.
 fn retain_critical(candidates: &mut Vec<Candidate>) {
-    let times = candidates.iter().map(Candidate::time_left);
+    let times = candidates.iter().map(Candidate::time_left_us);
     let critical = times.fold(0.0, f64::max) * MIN_CRITICAL_SHARE;
-    candidates.retain(|candidate| candidate.time_left() >= critical);
-    candidates.sort_by(|left, right| right.time_left().total_cmp(&left.time_left()));
+    candidates.retain(|candidate| candidate.time_left_us() >= critical);
+    candidates.sort_by(|left, right| right.time_left_us().total_cmp(&left.time_left_us()));
 }
 
+/// None if the run is too recent, cancelled, or its remaining time cannot be estimated yet.
 fn candidate(
     batch: &Batch,
     index: ItemIndex,
--- a/crates/sloetrail-serving/src/owner/service_owner/relocation/tests.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/relocation/tests.rs
@@ -1,6 +1,5 @@
 use super::{Candidate, retain_critical};
 
-/// A text with so many events left at so many milliseconds an event.
 fn candidate(index: usize, remaining: f64, event_interval_ms: u64) -> Candidate {
     Candidate {
         index,
@@ -9,10 +8,9 @@
     }
 }
 
-/// With every text moved that a faster engine would end sooner, 489 of 5,144 runs of a quiet
-/// day were cut; their batches were done no sooner for it.
+/// Guards against moving texts whose earlier end would not complete their batch sooner.
 #[test]
-fn only_texts_that_end_about_last_are_moved_the_longest_first() {
+fn only_texts_near_the_longest_remaining_time_move() {
     let mut candidates = vec![
         candidate(0, 12.0, 60),
         candidate(1, 50.0, 60),
@@ -27,7 +25,7 @@
 }
 
 #[test]
-fn a_batch_without_texts_to_move_moves_none() {
+fn no_candidates_remain_without_runs() {
     let mut candidates = Vec::new();
     retain_critical(&mut candidates);
     assert!(candidates.is_empty());
--- a/crates/sloetrail-serving/src/owner/service_owner/results.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/results.rs
@@ -1,4 +1,4 @@
-//! What becomes of a run: its engine judged, the result listed.
+//! Handles ended runs: updates the engine's state and lists results.
 
 use super::ServiceOwner;
 use crate::events::{self, Event};
@@ -75,7 +75,7 @@
                 index,
                 failed_runs: open.batch.failed_runs(index),
             };
-            // The committer ends only with the term.
+            // The committer stops only when the term ends.
             let _ = self.commits.send(request);
         }
         match (death, move_target) {
@@ -142,7 +142,7 @@
             index,
             result,
         };
-        // The committer ends only with the term.
+        // The committer stops only when the term ends.
         let _ = self.commits.send(request);
     }
 
@@ -176,8 +176,7 @@
         }
     }
 
-    /// Tells that the groups that a trainer waits for are whole, and where the time of
-    /// the item went that was the last of them.
+    /// Logs that all required groups are complete, with the phase times of the last item.
     fn report_step(&self, id: &BatchId, last: ItemIndex) {
         let Some(open) = self.batches.get(id) else {
             return;
--- a/crates/sloetrail-serving/src/owner/service_owner/scoring.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/scoring.rs
@@ -1,4 +1,4 @@
-//! Whole texts: scored in the order of their queue, then listed.
+//! Scores complete texts through their reward calls and lists the results.
 
 use super::ServiceOwner;
 use crate::owner::event::OwnerEvent;
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 impl ServiceOwner {
-    /// Lets a whole text wait for its score, or lists it if it needs none.
+    /// Queues a complete text for scoring. Lists it right away if it has no reward call.
     pub(super) fn enqueue_scoring(&mut self, id: &BatchId, index: ItemIndex) {
         let Some(open) = self.batches.get(id) else {
             return;
@@ -28,7 +28,7 @@
             .push(Scoring::new(id.clone(), index, lane, rank));
     }
 
-    /// Has as many texts scored as there are places for.
+    /// Starts scoring queued texts while slots are free.
     pub(super) fn start_scorings(&mut self) {
         let context = Arc::clone(&self.context);
         let slots = |lane: &Lane| match &lane.service {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Drops the texts whose batch has ended, or that were given up.
+    /// Drops queued texts whose batch has ended or whose item is dead.
     pub(super) fn drop_unneeded_scorings(&mut self) {
         let batches = &self.batches;
         self.rewards.retain(|scoring| {
@@ -70,7 +70,7 @@
                 }
                 None => RewardOutcome::Cancelled,
             };
-            // The owner may be gone; then nobody needs it.
+            // The receiver is gone if the term has ended.
             let _ = sender.send(OwnerEvent::RewardEnded(scoring, outcome));
         });
     }
@@ -101,7 +101,7 @@
 }
 
 impl super::OpenBatch {
-    /// True if an item's text is whole and has no score yet.
+    /// True if the item's text is complete and not yet scored.
     fn needs_score(&self, index: ItemIndex) -> bool {
         self.batch.item(index).state == ItemState::Rewarding
     }
--- a/crates/sloetrail-serving/src/owner/service_owner/supply.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/supply.rs
@@ -1,4 +1,4 @@
-//! How many engines the service has: decided from what they do, and ordered.
+//! Decides how many engines the service needs from their load, and orders them.
 
 use super::ServiceOwner;
 use crate::context::NodeContext;
@@ -19,32 +19,30 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long an answer to an order may take. It must come within the order window.
+/// Must be shorter than the order window.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How long to wait when the table did not tell how many engines there were.
 const BASELINE_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// What is known of how many engines there were before any were ordered.
+/// The number of engines before any order.
 #[derive(Clone, Copy)]
 enum EngineBaseline {
-    /// It is to be read from this moment on.
+    /// Not read yet; to be read from this time on.
     Unknown(BootInstant),
     BeingRead,
     Known(usize),
 }
 
-/// What the owner knows of the number of its engines.
+/// State of the control loop for the engine count.
 pub(super) struct SupplyState {
     origin: BootInstant,
     scaler: FleetScaler,
-    /// What bound batches take, as their owners tell it.
+    /// Slot demand of region-bound batches, as reported by their owners.
     received: HeardDemands,
-    /// By model, when its last batch was accepted, in milliseconds of the table's clock.
+    /// By model, when its last batch was accepted, by the table's clock.
     accepted_at_ms: BTreeMap<String, u64>,
-    /// How many engines there were before any were ordered.
     baseline: EngineBaseline,
-    /// Orders that wait for a window.
+    /// Orders that wait for an open order window.
     planned: Vec<SupplyOrder>,
     is_ordering: bool,
 }
@@ -68,7 +66,6 @@
         Timestamp(self.origin.elapsed().as_millis() as u64)
     }
 
-    /// A batch was opened.
     pub(super) fn record_batch(&mut self, model: &str, header: &BatchHeader) {
         let accepted_at_ms = header.accepted_at_ms;
         let before = self.accepted_at_ms.insert(model.to_owned(), accepted_at_ms);
@@ -80,7 +77,7 @@
 }
 
 impl ServiceOwner {
-    /// The groups that a trainer waits for are whole.
+    /// Records the time that a batch took until its required groups were complete.
     pub(super) fn record_step(&mut self, header: &BatchHeader, age: Duration) {
         if header.run_target_ms == 0 || self.scaling_bounds().is_none() {
             return;
@@ -92,15 +89,15 @@
         }
     }
 
-    /// Who takes orders for engines, if the deployment lets anybody order some for the
-    /// service.
+    /// Returns where engines are ordered, with the service's scaling bounds. None if engines
+    /// cannot be ordered for the service.
     pub(super) fn engine_supply(&self) -> Option<(Arc<dyn EngineSupply>, ScalingBounds)> {
         let supply = self.context.engine_supply.clone();
         let is_on = self.context.settings.policies.order_engines;
         supply.filter(|_| is_on).zip(self.scaling_bounds())
     }
 
-    /// Takes in what the engines do, and orders another number of them if one is wanted.
+    /// Records the load of the engines and orders a different count if one is needed.
     pub(super) fn scale_engines(&mut self) {
         if !self.set.is_in_charge_of_engines() {
             return;
@@ -108,8 +105,7 @@
         let Some((supply, bounds)) = self.engine_supply() else {
             return;
         };
-        // Numbers that are decided from a part of the engines are wrong, and the first of them
-        // stays.
+        // A subset of the directory would give a wrong count, and the baseline is stored for good.
         if !self.context.directory.borrow().is_whole {
             self.context.directory_interest.want_all();
             return;
@@ -160,13 +156,13 @@
         service.scaling.clone()
     }
 
-    /// How many engines there were before any were ordered, those of evacuated zones
-    /// included, once the table has told.
+    /// Returns the number of engines before any order, including those in evacuated zones. None
+    /// until it has been read from the table.
     fn baseline(&mut self) -> Option<usize> {
         let engines = self.engines.iter();
         let engines = engines.filter(|(_, engine)| !engine.back_end.draining);
         let engines = engines.count();
-        // Before the first batch the engines may still be on their way.
+        // Before the first batch, engines may still be starting.
         let is_in_use = engines > 0 && !self.supply.accepted_at_ms.is_empty();
         match self.supply.baseline {
             EngineBaseline::Known(baseline) => return Some(baseline),
@@ -178,7 +174,7 @@
         let (service, sender) = (self.service.clone(), self.sender.clone());
         tokio::spawn(async move {
             let baseline = read_or_record_baseline(&context, &term, &service, engines).await;
-            // The owner may be gone; then nobody needs it.
+            // The receiver is gone if the term has ended.
             let _ = sender.send(OwnerEvent::BaselineRead(baseline));
         });
         None
@@ -212,10 +208,9 @@
             .collect()
     }
 
-    /// Engines that take work, by zone, and the places that own items take there. A zone that
-    /// has lost all of its engines is there as long as it has a price. A zone that is
-    /// evacuated is left out: its number stays as it is, and what is needed is ordered
-    /// elsewhere.
+    /// Returns the available engines by zone and the slots that this owner's items use there.
+    /// A zone without engines is included if it has a price. An evacuated zone is omitted: its
+    /// engine count stays unchanged and the missing engines are ordered in other zones.
     fn zones_now(&self, bounds: &ScalingBounds) -> ZonesNow {
         let topology = &self.context.settings.topology;
         let empty = |zone: &ZoneName| ZoneNow {
@@ -243,7 +238,7 @@
         zones
     }
 
-    /// Gives the planned orders, within a window that was committed before.
+    /// Sends the planned orders within a committed order window.
     fn order_supply(&mut self, supply: Arc<dyn EngineSupply>) {
         let evacuations = Arc::clone(&self.context.in_force.borrow().evacuations);
         let planned = &mut self.supply.planned;
@@ -265,7 +260,7 @@
         let sender = self.sender.clone();
         tokio::spawn(async move {
             let outcome = task.run().await;
-            // The owner may be gone; then nobody needs it.
+            // The receiver is gone if the term has ended.
             let _ = sender.send(OwnerEvent::SupplyOrdersEnded(outcome));
         });
     }
@@ -278,8 +273,8 @@
     }
 }
 
-/// How many engines there were before any were ordered. The first owner ever writes down
-/// what it sees. Nothing if the table does not answer.
+/// Returns the number of engines before any order. If the row is missing, stores `engines` as
+/// that number. None if the table does not answer or refuses the write.
 async fn read_or_record_baseline(
     context: &NodeContext,
     term: &Term,
@@ -297,7 +292,7 @@
     matches!(commit, Commit::Done(_)).then_some(engines)
 }
 
-/// Orders that are given one after the other.
+/// Sends orders one after the other.
 struct SupplyTask {
     supply: Arc<dyn EngineSupply>,
     orders: Vec<SupplyOrder>,
@@ -306,7 +301,7 @@
 }
 
 impl SupplyTask {
-    /// Gives the orders while the window is open; what is left is decided anew.
+    /// Sends orders while the window is open. The rest is dropped and planned again later.
     async fn run(self) -> SupplyOrdersOutcome {
         let mut fenced = false;
         for order in &self.orders {
--- a/crates/sloetrail-serving/src/owner/service_owner/texts.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/texts.rs
@@ -1,14 +1,13 @@
-//! Keeping texts in the table while they are made.
+//! Checkpoints the texts of running items.
 
 use super::ServiceOwner;
 use crate::owner::committer::CommitRequest;
 use sloetrail_batch::{Checkpoint, TranscriptEvent};
 
-/// Bytes of text in one piece.
 const MAX_CHECKPOINT_BYTES: usize = 16 * 1024;
 
 impl ServiceOwner {
-    /// Has the new events of every running item committed.
+    /// Sends a checkpoint with the new events of each running item to the committer.
     pub(super) fn checkpoint_texts(&mut self) {
         for (id, open) in &mut self.batches {
             for (index, run) in &mut open.runs {
@@ -30,14 +29,14 @@
                     batch: id.clone(),
                     checkpoint,
                 };
-                // The committer ends only with the term.
+                // The committer stops only when the term ends.
                 let _ = self.commits.send(request);
             }
         }
     }
 }
 
-/// The first events that together hold at most so many bytes, at least one.
+/// Returns the leading events with at most `max_bytes` of data in total, but at least one.
 fn take_events(events: Vec<TranscriptEvent>, max_bytes: usize) -> Vec<TranscriptEvent> {
     let mut total = 0;
     let fits = |(index, event): &(usize, TranscriptEvent)| {
--- a/crates/sloetrail-serving/src/owner/service_owner/versions.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/versions.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, and what their answers and events tell of their versions.
+//! Orders weight versions from engines and tracks the versions that engines report.
 
 use super::ServiceOwner;
 use crate::back_end::{OrderAnswer, VersionChange};
@@ -18,10 +18,10 @@
 const UNANSWERED_ORDER_RETRY_DELAY: Duration = Duration::from_millis(700);
 const ORDER_SEND_TIMEOUT: Duration = Duration::from_millis(140);
 
-/// How far samples may be behind the newest version until a batch has told.
+/// Assumed lag of a model's samples behind the newest version until its first batch.
 const DEFAULT_VERSION_LAG: u64 = 1;
 
-/// Weight of a batch in what is known of its model's work.
+/// Weight of a new batch in the moving average of its model's expected tokens.
 const TOKENS_SMOOTHING: f64 = 0.3;
 
 impl ServiceOwner {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Gives the orders that are due, within a window that was committed before.
+    /// Sends the weight orders that are due within a committed order window.
     pub(super) fn order_weight_changes(&mut self) {
         if !self.set.is_in_charge_of_engines() {
             return;
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Has a window opened without waiting for the table, which may be slow or down.
+    /// Opens an order window in the background, since the table may be slow or down.
     pub(super) fn open_window(&mut self) {
         if std::mem::replace(&mut self.is_opening_window, true) {
             return;
@@ -87,7 +87,7 @@
         let sender = self.sender.clone();
         tokio::spawn(async move {
             window.open(&context, &term).await;
-            // The owner may be gone; then nobody needs it.
+            // The receiver is gone if the term has ended.
             let _ = sender.send(OwnerEvent::WindowOpenEnded(window));
         });
     }
@@ -128,8 +128,8 @@
         }
     }
 
-    /// The oldest version that the newest batch of a model can use, or the next one
-    /// that its trainer submits if it keeps its distance from the newest version.
+    /// The oldest version that both the open batches of a model and its next batch can use. The
+    /// next batch is expected to allow the same lag as the last one.
     fn needed_version(&self, model: &str, published: WeightVersion) -> WeightVersion {
         let lag = self
             .version_lags
@@ -145,8 +145,8 @@
         WeightVersion(expected).max(demanded)
     }
 
-    /// What the engines are shared out by. A model of which no batch was seen counts as
-    /// the others do on average.
+    /// The shares by which engines are assigned to models. A model without batches so far gets the
+    /// mean of the others.
     pub(super) fn model_shares(&self) -> Vec<ModelShare> {
         let published = Arc::clone(&self.context.in_force.borrow().published);
         let models = self.models();
@@ -172,8 +172,7 @@
             .collect()
     }
 
-    /// Notes that a batch has come, and how far behind the newest version it allows its
-    /// samples to be.
+    /// Records a new batch and how far its samples may lag behind the newest version.
     pub(super) fn record_version_demand(
         &mut self,
         model: &str,
@@ -189,7 +188,7 @@
         }
     }
 
-    /// Notes what a batch demands, and how much work it is.
+    /// Records the version demand and the expected tokens of a batch.
     pub(super) fn record_batch(&mut self, batch: &Batch) {
         let Some(model) = &batch.model else {
             return;
@@ -202,8 +201,8 @@
         self.assign_models();
     }
 
-    /// Running samples go on under new weights, unless a route of the service wants
-    /// each sample from one version.
+    /// Running samples continue under new weights, unless a route to the service requires each
+    /// sample to come from a single version.
     fn version_change(&self) -> VersionChange {
         let configuration = self.context.configuration();
         let requires_single_version = configuration.is_some_and(|configuration| {
