--- a/crates/sloetrail-serving/tests/batches.rs
+++ b/crates/sloetrail-serving/tests/batches.rs
@@ -1,4 +1,4 @@
-//! Batches: accepted once, run whole, listed once, read the same everywhere.
+//! Batches end to end: accepted once, run to completion, listed once and read alike at every node.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use support::{accepted, native_cluster, usual_cluster};
 
-const PACE: Duration = Duration::from_millis(4);
+const EVENT_INTERVAL: Duration = Duration::from_millis(4);
 
 fn items(count: usize, events: u64) -> Vec<Value> {
     let item = |number: usize| {
@@ -22,15 +22,15 @@
     (0..count).map(item).collect()
 }
 
-/// Asserts that a batch's results are whole: each item once, with all its events in
-/// order, the versions that its text names, and its score.
-fn assert_whole(results: &[Value], count: usize, events: u64) {
+/// Asserts that each item of a batch is listed once, with all of its events in order, the
+/// versions that its text names, and its score.
+fn assert_complete(results: &[Value], count: usize, events: u64) {
     let ids: BTreeSet<&str> = results
         .iter()
         .filter_map(|result| result["id"].as_str())
         .collect();
-    assert_eq!(ids.len(), count, "each item is listed");
-    assert_eq!(results.len(), count, "each item is listed once");
+    assert_eq!(ids.len(), count, "items are missing from the list");
+    assert_eq!(results.len(), count, "items are listed more than once");
     for result in results {
         assert_eq!(result["state"], "succeeded", "{result}");
         let id = result["id"].as_str().expect("an id");
@@ -38,32 +38,32 @@
         let lines: Vec<&str> = text.split('\n').collect();
         assert_eq!(lines.len() as u64, events, "{text}");
         let mut versions: BTreeSet<u64> = BTreeSet::new();
-        for (place, line) in lines.iter().enumerate() {
+        for (index, line) in lines.iter().enumerate() {
             let parts: Vec<&str> = line.split('/').collect();
             assert_eq!(parts[0], id);
-            assert_eq!(parts[1], (place + 1).to_string());
+            assert_eq!(parts[1], (index + 1).to_string());
             versions.insert(parts[2].parse().expect("a version"));
         }
-        let named: BTreeSet<u64> = result["versions"]
+        let named_versions: BTreeSet<u64> = result["versions"]
             .as_array()
             .expect("versions")
             .iter()
             .filter_map(Value::as_u64)
             .collect();
         assert_eq!(
-            named, versions,
-            "the versions are those that made the events"
+            named_versions, versions,
+            "the listed versions must be the versions of the events"
         );
         assert_eq!(result["score"], format!("signed reward-{id}"));
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_batch_taken_at_one_node_is_read_whole_at_another() {
-    let cluster = usual_cluster(PACE).await;
+async fn a_batch_accepted_at_one_node_is_readable_at_another() {
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     accepted(&cluster, 0, "b1", &batch(&items(20, 6), MODEL, 1)).await;
     let first = cluster.wait_results(1, "b1", 20).await;
-    assert_whole(&first, 20, 6);
+    assert_complete(&first, 20, 6);
     assert_eq!(cluster.wait_results(0, "b1", 20).await, first);
     let page = cluster.read(0, "b1", 12).await.expect("a page");
     assert_eq!(page["total"], 20);
@@ -72,13 +72,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_batch_sent_again_is_taken_once() {
-    let cluster = usual_cluster(PACE).await;
+async fn a_resubmitted_batch_runs_once() {
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     let body = batch(&items(6, 3), MODEL, 1);
     for node in [0, 1, 0, 1] {
         accepted(&cluster, node, "b1", &body).await;
     }
-    assert_whole(&cluster.wait_results(0, "b1", 6).await, 6, 3);
+    assert_complete(&cluster.wait_results(0, "b1", 6).await, 6, 3);
     let runs: usize = cluster
         .engines
         .iter()
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_batch_larger_than_one_transaction_is_kept_whole() {
+async fn a_batch_larger_than_one_transaction_completes() {
     let cluster = usual_cluster(Duration::from_millis(1)).await;
     let large: Vec<Value> = (0..400)
         .map(|number| {
@@ -98,24 +98,24 @@
         })
         .collect();
     accepted(&cluster, 0, "b1", &batch(&large, MODEL, 1)).await;
-    assert_whole(&cluster.wait_results(1, "b1", 400).await, 400, 1);
+    assert_complete(&cluster.wait_results(1, "b1", 400).await, 400, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn everything_is_killed_right_after_the_acceptance_and_the_batch_is_still_whole() {
-    let mut cluster = usual_cluster(PACE).await;
+async fn an_accepted_batch_survives_the_kill_of_all_nodes() {
+    let mut cluster = usual_cluster(EVENT_INTERVAL).await;
     accepted(&cluster, 0, "b1", &batch(&items(10, 8), MODEL, 1)).await;
     for node in &mut cluster.nodes {
         node.kill();
     }
     let node = cluster.add_node("node-3").await;
     cluster.wait_ready(node).await;
-    assert_whole(&cluster.wait_results(node, "b1", 10).await, 10, 8);
+    assert_complete(&cluster.wait_results(node, "b1", 10).await, 10, 8);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refusal_that_promises_that_nothing_runs_is_true() {
-    let cluster = usual_cluster(PACE).await;
+async fn refused_submissions_never_run() {
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     let faults = [
         CommitFault::Refused,
         CommitFault::LostOnTheWay,
@@ -136,38 +136,41 @@
             .flat_map(|engine| engine.runs())
             .any(|run| run.id == format!("only{number}"));
         let promised = matches!(status, 408 | 421 | 429 | 503);
-        assert!(!(promised && ran), "{fault:?}: {status} and it ran");
+        assert!(
+            !(promised && ran),
+            "{fault:?}: answered {status} but the item ran"
+        );
         assert!(
             status != 202 || ran,
-            "{fault:?}: accepted and it did not run"
+            "{fault:?}: accepted but the item did not run"
         );
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn positions_hold_although_answers_of_the_table_are_lost() {
+async fn result_positions_survive_lost_commit_answers() {
     let faults = [
         CommitFault::DoneUnanswered,
         CommitFault::LostOnTheWay,
         CommitFault::DoneLate(Duration::from_millis(300)),
     ];
     for fault in faults {
-        let cluster = usual_cluster(PACE).await;
-        // Few enough that the owner keeps its lease and must settle them itself.
+        let cluster = usual_cluster(EVENT_INTERVAL).await;
+        // Few enough faults that the owner keeps its lease and has to resolve the commits itself.
         cluster
             .table
             .set_commit_fault_on("sloetrail_results", fault, 2);
         accepted(&cluster, 0, "b1", &batch(&items(30, 4), MODEL, 1)).await;
         let first = cluster.wait_results(1, "b1", 30).await;
-        assert_whole(&first, 30, 4);
+        assert_complete(&first, 30, 4);
         tokio::time::sleep(Duration::from_millis(500)).await;
         assert_eq!(cluster.wait_results(0, "b1", 30).await, first, "{fault:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_unknown_batch_is_told_from_one_that_cannot_be_read() {
-    let cluster = usual_cluster(PACE).await;
+async fn unknown_batches_get_404_and_unreadable_ones_503() {
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     let unknown = cluster
         .read_answer(0, "nothing", 0)
         .await
@@ -186,7 +189,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_batches_are_refused_with_their_code() {
-    let cluster = usual_cluster(PACE).await;
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     let twice = [item("same", "g", 1), item("same", "g", 1)];
     let answer = cluster.submit(0, "b1", &batch(&twice, MODEL, 1)).await;
     let answer = answer.expect("an answer");
@@ -199,7 +202,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_ended_batch_starts_nothing_more_and_keeps_what_is_listed() {
+async fn an_ended_batch_stops_and_keeps_listed_results() {
     let cluster = usual_cluster(Duration::from_millis(60)).await;
     accepted(&cluster, 0, "b1", &batch(&items(40, 10), MODEL, 1)).await;
     let some = cluster.wait_results(0, "b1", 1).await;
@@ -210,10 +213,14 @@
         );
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
-    // A run takes 600 ms: those that were under way are closed, not waited for.
+    // A run takes 600 ms, so runs in flight must have been closed rather than completed.
     let all = cluster.engines.iter().flat_map(|engine| engine.runs());
-    let goes_on = |run: &RunRecord| !run.finished && !run.abandoned;
-    assert_eq!(all.filter(goes_on).count(), 0, "runs go on after the end");
+    let is_unfinished = |run: &RunRecord| !run.finished && !run.abandoned;
+    assert_eq!(
+        all.filter(is_unfinished).count(),
+        0,
+        "runs continue after the batch ended"
+    );
     let runs = || -> usize {
         cluster
             .engines
@@ -223,21 +230,21 @@
     };
     let before = runs();
     tokio::time::sleep(Duration::from_millis(800)).await;
-    assert_eq!(runs(), before, "nothing starts after the end");
+    assert_eq!(runs(), before, "runs started after the batch ended");
     let listed = cluster.read(1, "b1", 0).await.expect("a page");
     assert_eq!(listed["results"][0], some[0]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn reward_calls_that_run_out_of_time_do_not_count_as_failures() {
-    const ANSWERS: usize = 5;
-    let cluster = usual_cluster(PACE).await;
+async fn timed_out_reward_calls_are_not_counted_as_failures() {
+    const TIMEOUTS: usize = 5;
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     let applications = cluster
         .engines
         .iter()
         .filter(|engine| engine.service != "models");
     for engine in applications {
-        engine.set_fault(EngineFault::OutOfTime, Some(ANSWERS));
+        engine.set_fault(EngineFault::OutOfTime, Some(TIMEOUTS));
     }
     let scored = with_reward(item("i1", "g", 2), HOST);
     accepted(&cluster, 0, "b1", &batch(&[scored], MODEL, 1)).await;
@@ -246,8 +253,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn items_die_only_of_failures_of_their_own() {
-    let cluster = usual_cluster(PACE).await;
+async fn items_die_only_from_their_own_failures() {
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     for engine in &cluster.engines {
         engine.set_fault(EngineFault::None, None);
     }
@@ -269,7 +276,7 @@
     let dead = cluster.wait_results(0, "b1", 1).await;
     assert_eq!(dead[0]["state"], "dead");
     let runs: usize = engines.iter().map(|engine| engine.runs().len()).sum();
-    assert_eq!(runs, 3, "as often as the route allows");
+    assert_eq!(runs, 3, "one run for each attempt that the route allows");
     for engine in &engines {
         engine.set_fault(EngineFault::Impossible, None);
     }
@@ -292,23 +299,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_run_goes_on_after_its_last_event() {
-    let cluster = usual_cluster(PACE).await;
+async fn an_interrupted_run_continues_after_its_last_event() {
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     for engine in &cluster.engines {
         if engine.service == "models" {
             engine.set_fault(EngineFault::BreaksOff(3), Some(2));
         }
     }
     accepted(&cluster, 0, "b1", &batch(&items(4, 10), MODEL, 1)).await;
-    assert_whole(&cluster.wait_results(0, "b1", 4).await, 4, 10);
+    assert_complete(&cluster.wait_results(0, "b1", 4).await, 4, 10);
     let runs = cluster.engines.iter().flat_map(|engine| engine.runs());
-    // The last event may be lost with the connection; those before it are kept.
+    // The last event may be lost with the connection; earlier events are retained.
     let continued = runs.filter(|run| matches!(run.last_event, Some(2 | 3)));
     assert!(continued.count() >= 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn engines_whose_connections_were_all_reset_get_work_again() {
+async fn engines_get_items_again_after_connection_resets() {
     let cluster = usual_cluster(Duration::from_millis(15)).await;
     accepted(&cluster, 0, "b1", &batch(&items(40, 8), MODEL, 1)).await;
     cluster.wait_results(0, "b1", 1).await;
@@ -316,20 +323,20 @@
         engine.reset_connections();
     }
     let watch = Stopwatch::start();
-    assert_whole(&cluster.wait_results(0, "b1", 40).await, 40, 8);
+    assert_complete(&cluster.wait_results(0, "b1", 40).await, 40, 8);
     assert!(watch.elapsed() < Duration::from_secs(4));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_long_text_on_a_slow_engine_goes_on_at_a_faster_one() {
+async fn a_long_text_moves_to_a_faster_engine() {
     const EVENTS: u64 = 90;
     let mut cluster = native_cluster();
     cluster.add_application("zone-a").await;
-    // Not so slow that it is left alone altogether.
+    // Not slow enough to be excluded from dispatch.
     let slow = cluster.add_engine(Duration::from_millis(50)).await;
     let node = cluster.add_node("node-1").await;
     cluster.wait_ready(node).await;
-    // These teach how long texts are by their hints, and how fast the engine is.
+    // These items train the length model and the engine's event interval.
     accepted(&cluster, node, "b1", &batch(&items(8, 6), MODEL, 1)).await;
     cluster.wait_results(node, "b1", 8).await;
     accepted(&cluster, node, "b2", &batch(&items(1, EVENTS), MODEL, 1)).await;
@@ -337,18 +344,18 @@
     eventually("the long text runs", is_running).await;
     let fast = cluster.add_engine(Duration::from_millis(30)).await;
     accepted(&cluster, node, "b3", &batch(&items(8, 12), MODEL, 1)).await;
-    assert_whole(&cluster.wait_results(node, "b2", 1).await, 1, EVENTS);
+    assert_complete(&cluster.wait_results(node, "b2", 1).await, 1, EVENTS);
     let has_moved = |run: &RunRecord| run.last_event.is_some_and(|last| last < EVENTS);
     assert!(
         fast.runs().iter().any(has_moved),
-        "it went on at the fast one"
+        "the item must continue on the fast engine"
     );
     let is_closed = slow.runs().iter().any(|run| run.abandoned);
-    assert!(is_closed, "its first run was closed");
+    assert!(is_closed, "the run on the slow engine must be closed");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_body_of_an_item_can_be_read() {
+async fn item_bodies_are_readable() {
     let cluster = usual_cluster(Duration::from_millis(50)).await;
     accepted(&cluster, 0, "b1", &batch(&items(4, 30), MODEL, 1)).await;
     let call = |item: &str| {
@@ -368,26 +375,29 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_step_waits_for_the_version_that_it_needs() {
+async fn a_batch_waits_for_its_oldest_allowed_version() {
     let mut cluster = native_cluster();
     cluster.add_application("zone-a").await;
-    let engine = cluster.add_engine(PACE).await;
-    cluster.add_engine(PACE).await;
+    let engine = cluster.add_engine(EVENT_INTERVAL).await;
+    cluster.add_engine(EVENT_INTERVAL).await;
     let node = cluster.add_node("node-1").await;
     cluster.wait_ready(node).await;
     accepted(&cluster, node, "b1", &batch(&items(6, 4), MODEL, 2)).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
-    assert!(engine.runs().is_empty(), "no engine has version 2 yet");
+    assert!(
+        engine.runs().is_empty(),
+        "items ran before any engine had version 2"
+    );
     cluster.publish(2);
     let results = cluster.wait_results(node, "b1", 6).await;
-    assert_whole(&results, 6, 4);
+    assert_complete(&results, 6, 4);
     for result in &results {
         assert_eq!(result["versions"], serde_json::json!([2]));
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn samples_that_run_while_the_version_changes_name_both() {
+async fn samples_across_a_version_change_name_both_versions() {
     let cluster = usual_cluster(Duration::from_millis(25)).await;
     accepted(&cluster, 0, "b1", &batch(&items(8, 40), MODEL, 1)).await;
     let is_running = || async {
@@ -401,17 +411,17 @@
     eventually("the items run", is_running).await;
     cluster.publish(2);
     let results = cluster.wait_results(0, "b1", 8).await;
-    assert_whole(&results, 8, 40);
+    assert_complete(&results, 8, 40);
     let both = results
         .iter()
         .filter(|result| result["versions"] == serde_json::json!([1, 2]));
-    assert!(both.count() > 0, "a sample was made under two versions");
+    assert!(both.count() > 0, "no sample spans both versions");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn items_past_their_retention_are_listed_as_dead_and_not_before() {
-    let cluster = usual_cluster(PACE).await;
-    // No engine will have version 9: the items wait.
+async fn items_are_dead_only_after_their_retention() {
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
+    // No engine ever has version 9, so the items keep waiting.
     accepted(&cluster, 0, "b1", &batch(&items(3, 2), MODEL, 9)).await;
     cluster.table.advance_clock(Duration::from_secs(25));
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -423,8 +433,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn batches_are_deleted_once_nobody_may_read_them_and_not_before() {
-    let cluster = usual_cluster(PACE).await;
+async fn batches_are_deleted_only_after_their_read_period() {
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     accepted(&cluster, 0, "b1", &batch(&items(4, 2), MODEL, 1)).await;
     cluster.wait_results(0, "b1", 4).await;
     assert_eq!(cluster.end(0, "b1").await.expect("an answer").status, 200);
--- a/crates/sloetrail-serving/tests/segments.rs
+++ b/crates/sloetrail-serving/tests/segments.rs
@@ -1,5 +1,5 @@
-//! Results name which engine made which events under which version, also where owners
-//! die, engines go and texts come from an earlier batch.
+//! Segments of results name the engine and the version that generated each event, also after the
+//! loss of owners and engines and when texts of an earlier batch are reused.
 
 mod support;
 
@@ -12,16 +12,15 @@
 use std::time::Duration;
 use support::{accepted, assert_each_once, items, lease_holder, usual_cluster};
 
-const PACE: Duration = Duration::from_millis(15);
-/// Events of a text that is still being made, also on a busy machine, after three pieces of it
-/// were kept: 4.5 s.
-const LONG: u64 = 300;
+const EVENT_INTERVAL: Duration = Duration::from_millis(15);
+/// Enough that a text is still incomplete after three checkpoints, also on a busy machine.
+const LONG_TEXT_EVENTS: u64 = 300;
 const CHECKPOINTS: &str = "sloetrail_checkpoints";
 
-type Made = BTreeMap<String, BTreeSet<EventRecord>>;
+type EngineEvents = BTreeMap<String, BTreeSet<EventRecord>>;
 
-/// What each engine wrote down of the events that it made.
-fn made(cluster: &Cluster) -> Made {
+/// The events that each engine recorded as generated.
+fn recorded_events(cluster: &Cluster) -> EngineEvents {
     let engines = cluster.engines.iter();
     engines
         .map(|engine| (engine.id.clone(), engine.events()))
@@ -35,9 +34,9 @@
     segments.iter().map(engine).collect()
 }
 
-/// Asserts that the segments of a result cover each event of its text, that the engines
-/// wrote down having made them so, and that no two that follow each other are the same.
-fn assert_true_segments(made: &Made, result: &Value) {
+/// Asserts that the segments of a result cover each event of its text, match the engines'
+/// records, and that adjacent segments differ in engine or version.
+fn assert_segments_match(recorded: &EngineEvents, result: &Value) {
     let id = result["id"].as_str().expect("an id");
     let text = result["text"].as_str().expect("a text");
     let segments = result["segments"].as_array().expect("segments");
@@ -52,30 +51,33 @@
                 number,
                 version,
             };
-            assert!(made[engine].contains(&event), "{event:?} not of {engine}");
+            assert!(
+                recorded[engine].contains(&event),
+                "{engine} did not generate {event:?}"
+            );
         }
     }
     assert_eq!(number as usize, text.lines().count(), "{result}");
     let mut pairs = segments.windows(2);
-    let is_joined = pairs.all(|pair| {
+    let are_distinct = pairs.all(|pair| {
         pair[0]["engine"] != pair[1]["engine"] || pair[0]["version"] != pair[1]["version"]
     });
-    assert!(is_joined, "{result}");
+    assert!(are_distinct, "{result}");
 }
 
-fn assert_all_true(cluster: &Cluster, results: &[Value]) {
-    let made = made(cluster);
+fn assert_all_segments_match(cluster: &Cluster, results: &[Value]) {
+    let recorded = recorded_events(cluster);
     for result in results {
-        assert_true_segments(&made, result);
+        assert_segments_match(&recorded, result);
     }
 }
 
-fn of_several_engines(results: &[Value]) -> usize {
+fn count_with_several_engines(results: &[Value]) -> usize {
     let several = |result: &&Value| engines_of(result).len() > 1;
     results.iter().filter(several).count()
 }
 
-async fn wait_running(cluster: &Cluster, count: usize) {
+async fn wait_for_runs(cluster: &Cluster, count: usize) {
     let are_running = || async {
         let engines = cluster.engines.iter();
         let runs: usize = engines.map(|engine| engine.runs().len()).sum();
@@ -84,9 +86,9 @@
     eventually("the items run", are_running).await;
 }
 
-async fn wait_kept(cluster: &Cluster, count: usize) {
-    let are_kept = || async { (cluster.table.rows(CHECKPOINTS).len() >= count).then_some(()) };
-    eventually("texts are kept", are_kept).await;
+async fn wait_for_checkpoints(cluster: &Cluster, count: usize) {
+    let are_written = || async { (cluster.table.rows(CHECKPOINTS).len() >= count).then_some(()) };
+    eventually("checkpoints are written", are_written).await;
 }
 
 fn model_engines(cluster: &Cluster) -> Vec<Arc<EngineStandIn>> {
@@ -96,17 +98,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_version_that_changes_within_a_text_begins_a_segment() {
-    let cluster = usual_cluster(PACE).await;
+async fn a_version_change_within_a_text_starts_a_segment() {
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     accepted(&cluster, 0, "b1", &batch(&items(8, 60), MODEL, 1)).await;
-    wait_running(&cluster, 8).await;
-    tokio::time::sleep(PACE * 10).await;
+    wait_for_runs(&cluster, 8).await;
+    tokio::time::sleep(EVENT_INTERVAL * 10).await;
     for engine in model_engines(&cluster) {
         engine.force_version(MODEL, 2);
     }
     let results = cluster.wait_results(0, "b1", 8).await;
     assert_each_once(&results, 8);
-    assert_all_true(&cluster, &results);
+    assert_all_segments_match(&cluster, &results);
     let of_both = |result: &&Value| {
         result["segments"]
             .as_array()
@@ -116,84 +118,102 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn texts_that_go_on_after_their_owner_was_killed_name_each_engine() {
-    let mut cluster = usual_cluster(PACE).await;
+async fn texts_continued_by_a_new_owner_name_each_engine() {
+    let mut cluster = usual_cluster(EVENT_INTERVAL).await;
     let owner = lease_holder(&cluster).await;
     let other = 1 - owner;
-    accepted(&cluster, other, "b1", &batch(&items(8, LONG), MODEL, 1)).await;
-    wait_kept(&cluster, 24).await;
-    let gone = &model_engines(&cluster)[0];
-    gone.crash();
-    cluster.unlist(gone);
+    accepted(
+        &cluster,
+        other,
+        "b1",
+        &batch(&items(8, LONG_TEXT_EVENTS), MODEL, 1),
+    )
+    .await;
+    wait_for_checkpoints(&cluster, 24).await;
+    let lost_engine = &model_engines(&cluster)[0];
+    lost_engine.crash();
+    cluster.unlist(lost_engine);
     for engine in model_engines(&cluster) {
         engine.force_version(MODEL, 2);
     }
     cluster.nodes[owner].kill();
     let results = cluster.wait_results(other, "b1", 8).await;
     assert_each_once(&results, 8);
-    assert_all_true(&cluster, &results);
-    assert!(of_several_engines(&results) > 0, "{results:?}");
+    assert_all_segments_match(&cluster, &results);
+    assert!(count_with_several_engines(&results) > 0, "{results:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn texts_that_move_to_another_engine_name_both() {
-    let cluster = usual_cluster(PACE).await;
+async fn texts_that_change_engines_name_both() {
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     accepted(&cluster, 0, "b1", &batch(&items(8, 60), MODEL, 1)).await;
-    wait_running(&cluster, 8).await;
-    tokio::time::sleep(PACE * 10).await;
-    let gone = &model_engines(&cluster)[0];
-    gone.crash();
-    cluster.unlist(gone);
+    wait_for_runs(&cluster, 8).await;
+    tokio::time::sleep(EVENT_INTERVAL * 10).await;
+    let lost_engine = &model_engines(&cluster)[0];
+    lost_engine.crash();
+    cluster.unlist(lost_engine);
     let results = cluster.wait_results(1, "b1", 8).await;
     assert_each_once(&results, 8);
-    assert_all_true(&cluster, &results);
-    assert!(of_several_engines(&results) > 0, "{results:?}");
+    assert_all_segments_match(&cluster, &results);
+    assert!(count_with_several_engines(&results) > 0, "{results:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn texts_that_an_earlier_batch_left_over_name_its_engines() {
-    let cluster = usual_cluster(PACE).await;
+async fn reused_texts_name_the_engines_of_both_batches() {
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     accepted(&cluster, 0, "b1", &batch(&items(8, 80), MODEL, 1)).await;
-    wait_running(&cluster, 8).await;
-    tokio::time::sleep(PACE * 20).await;
+    wait_for_runs(&cluster, 8).await;
+    tokio::time::sleep(EVENT_INTERVAL * 20).await;
     assert_eq!(cluster.end(0, "b1").await.expect("an answer").status, 200);
-    let gone = &model_engines(&cluster)[0];
+    let lost_engine = &model_engines(&cluster)[0];
     let is_idle = || async {
-        let runs = gone.runs();
+        let runs = lost_engine.runs();
         runs.iter().all(|run| run.ended.is_some()).then_some(())
     };
     eventually("its runs are closed", is_idle).await;
-    gone.crash();
-    cluster.unlist(gone);
+    lost_engine.crash();
+    cluster.unlist(lost_engine);
     let other = batch(&items(8, 80), MODEL, 1);
     accepted(&cluster, 0, "b2", &other).await;
     let results = cluster.wait_results(1, "b2", 8).await;
     assert_each_once(&results, 8);
-    assert_all_true(&cluster, &results);
-    assert!(of_several_engines(&results) > 0, "{results:?}");
+    assert_all_segments_match(&cluster, &results);
+    assert!(count_with_several_engines(&results) > 0, "{results:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn texts_left_over_and_taken_over_name_the_engines_of_both_batches() {
-    let mut cluster = usual_cluster(PACE).await;
+async fn reused_texts_name_all_engines_after_owner_loss() {
+    let mut cluster = usual_cluster(EVENT_INTERVAL).await;
     let owner = lease_holder(&cluster).await;
     let other = 1 - owner;
-    accepted(&cluster, other, "b1", &batch(&items(8, LONG), MODEL, 1)).await;
-    wait_running(&cluster, 8).await;
-    tokio::time::sleep(PACE * 20).await;
+    accepted(
+        &cluster,
+        other,
+        "b1",
+        &batch(&items(8, LONG_TEXT_EVENTS), MODEL, 1),
+    )
+    .await;
+    wait_for_runs(&cluster, 8).await;
+    tokio::time::sleep(EVENT_INTERVAL * 20).await;
     assert_eq!(
         cluster.end(other, "b1").await.expect("an answer").status,
         200
     );
-    let b1_kept = cluster.table.rows(CHECKPOINTS).len();
-    accepted(&cluster, other, "b2", &batch(&items(8, LONG), MODEL, 1)).await;
-    wait_kept(&cluster, b1_kept + 16).await;
-    let gone = &model_engines(&cluster)[0];
-    gone.crash();
-    cluster.unlist(gone);
+    let b1_checkpoints = cluster.table.rows(CHECKPOINTS).len();
+    accepted(
+        &cluster,
+        other,
+        "b2",
+        &batch(&items(8, LONG_TEXT_EVENTS), MODEL, 1),
+    )
+    .await;
+    wait_for_checkpoints(&cluster, b1_checkpoints + 16).await;
+    let lost_engine = &model_engines(&cluster)[0];
+    lost_engine.crash();
+    cluster.unlist(lost_engine);
     cluster.nodes[owner].kill();
     let results = cluster.wait_results(other, "b2", 8).await;
     assert_each_once(&results, 8);
-    assert_all_true(&cluster, &results);
-    assert!(of_several_engines(&results) > 0, "{results:?}");
+    assert_all_segments_match(&cluster, &results);
+    assert!(count_with_several_engines(&results) > 0, "{results:?}");
 }
