--- a/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
@@ -103,7 +103,7 @@
         engine_id: EngineId,
         priority: u8,
     ) -> bool {
-        let Some(permit) = self.quarantine_permit(id, index) else {
+        let Some(passage) = self.quarantine_permit(id, index) else {
             return false;
         };
         let Some(open) = self.batches.get_mut(id) else {
@@ -141,7 +141,7 @@
             priority,
             sends: engine.sends(),
             repeat_bound: engine.repeat_bound(),
-            passage: permit,
+            passage,
             pace: Arc::clone(&engine.pace),
             progress: Arc::clone(&run.progress),
             cancel: run.cancel.clone(),
