--- a/crates/sloetrail-serving/src/cold_budgets/tests.rs
+++ b/crates/sloetrail-serving/src/cold_budgets/tests.rs
@@ -68,7 +68,7 @@
         let region = RegionName::from(region);
         budgets.expect("bounded").of_region(Some(&region)).senders
     };
-    let leased = LeasedSets::of_view(&leases);
+    let leased = LeasedSets::from_view(&leases);
     assert_eq!(senders(&LeasedSets::default(), "north"), 1);
     assert_eq!(senders(&leased, "north"), 2);
     assert_eq!(
--- a/crates/sloetrail-serving/src/gateway/attempt.rs
+++ b/crates/sloetrail-serving/src/gateway/attempt.rs
@@ -4,7 +4,7 @@
 use crate::back_end::BackEnd;
 use crate::context::NodeContext;
 use crate::dialect::HeaderNames;
-use crate::ended_lives::has_ended;
+use crate::ended_incarnations::wait_until_ended;
 use crate::http::{Exchange, Reuse, SendFailure, WholeAnswer, WholeBody};
 use crate::quarantine::Passage;
 use bytes::Bytes;
@@ -15,7 +15,7 @@
 
 /// A request as it goes to a back end, without what an attempt adds.
 #[derive(Clone, Debug)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingRequest {
     pub(crate) request_id: String,
     pub(crate) method: Method,
     pub(crate) path_and_query: String,
@@ -98,7 +98,7 @@
 /// Builds the request of one attempt: the back end's life, the time left and the
 /// rank are added.
 pub(crate) fn build_request(
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     back_end: &BackEnd,
     names: &HeaderNames,
     deadline: BootInstant,
@@ -117,7 +117,7 @@
 /// Sends one attempt and reads its whole answer.
 pub(crate) async fn attempt(
     context: &NodeContext,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     passage: &Passage,
     back_end: &Arc<BackEnd>,
     reuse: Reuse,
@@ -128,7 +128,7 @@
     let result = tokio::select! {
         biased;
         result = exchanging => result,
-        () = has_ended(context.ended_lives.clone(), &back_end.id) => AttemptResult::Lost,
+        () = wait_until_ended(context.ended_incarnations.clone(), &back_end.id) => AttemptResult::Lost,
     };
     watch.end(&result);
     result
@@ -136,7 +136,7 @@
 
 async fn exchange_whole(
     context: &NodeContext,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     passage: &Passage,
     back_end: &BackEnd,
     reuse: Reuse,
@@ -150,20 +150,20 @@
     let sending = connections.send(back_end, request, Some(passage), reuse, deadline);
     let exchange = match sending.await {
         Ok(exchange) => exchange,
-        Err(failure) => return judge_failure(failure),
+        Err(failure) => return classify_failure(failure),
     };
-    if let Some(result) = judge_head(exchange.status, &exchange.headers, names, outgoing) {
-        return settle_by_head(exchange, result);
+    if let Some(result) = classify_head(exchange.status, &exchange.headers, names, outgoing) {
+        return finish_exchange(exchange, result);
     }
     match exchange.whole(context.answer_limit(), deadline).await {
-        Ok(answer) => judge_answer(answer, names),
-        Err(failure) => judge_failure(failure),
+        Ok(answer) => classify_answer(answer, names),
+        Err(failure) => classify_failure(failure),
     }
 }
 
 /// Ends an exchange of which the head has settled the result. The connection over which a back
 /// end has refused is kept.
-pub(crate) fn settle_by_head(exchange: Exchange, result: AttemptResult) -> AttemptResult {
+pub(crate) fn finish_exchange(exchange: Exchange, result: AttemptResult) -> AttemptResult {
     if matches!(result, AttemptResult::NotRun) {
         exchange.discard();
     }
@@ -172,11 +172,11 @@
 
 /// What the head alone settles: an answer to another request, or one that says that
 /// the request was not run.
-pub(crate) fn judge_head(
+pub(crate) fn classify_head(
     status: StatusCode,
     head: &HeaderMap,
     names: &HeaderNames,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
 ) -> Option<AttemptResult> {
     if status == StatusCode::MISDIRECTED_REQUEST {
         return Some(AttemptResult::WrongInstance);
@@ -189,7 +189,7 @@
 }
 
 /// What a whole answer says: a failure, or something that the caller may have.
-pub(crate) fn judge_answer(answer: WholeAnswer, names: &HeaderNames) -> AttemptResult {
+pub(crate) fn classify_answer(answer: WholeAnswer, names: &HeaderNames) -> AttemptResult {
     let is_signed = answer.headers.contains_key(&names.signature);
     if answer.status.is_success() && !is_signed {
         return AttemptResult::Lost;
@@ -203,7 +203,7 @@
     }
 }
 
-pub(crate) fn judge_failure(failure: SendFailure) -> AttemptResult {
+pub(crate) fn classify_failure(failure: SendFailure) -> AttemptResult {
     match failure {
         SendFailure::NotSent => AttemptResult::NotSent,
         SendFailure::HeldBack => AttemptResult::HeldBack,
--- a/crates/sloetrail-serving/src/gateway/batch_call.rs
+++ b/crates/sloetrail-serving/src/gateway/batch_call.rs
@@ -1,7 +1,7 @@
 //! Calls about batches that were submitted before: their results, the bodies of their
 //! items, and their end.
 
-use super::caller::{self, KeyDemand};
+use super::caller::{self, ApiKeyRequirement};
 use super::headers;
 use super::message::{CallerResponse, problem_response};
 use super::{read, submit};
@@ -75,7 +75,7 @@
         configuration: &ServingConfiguration,
         headers: &HeaderMap,
     ) -> CallerResponse {
-        let caller = match caller::identify(context, configuration, headers, KeyDemand::Needed) {
+        let caller = match caller::identify(context, configuration, headers, ApiKeyRequirement::Required) {
             Ok(caller) => caller,
             Err(problem) => return problem_response(&problem),
         };
--- a/crates/sloetrail-serving/src/gateway/front.rs
+++ b/crates/sloetrail-serving/src/gateway/front.rs
@@ -1,15 +1,15 @@
 //! The entry of every call from outside.
 
-use super::attempt::Outgoing;
+use super::attempt::OutgoingRequest;
 use super::batch_call::BatchCall;
-use super::body_budget::{BodyBudget, HeldBytes};
+use super::body_budget::{BodyBudget, BodyReservation};
 use super::call_log::CallLog;
-use super::caller::{self, KeyDemand};
-use super::claims::{Claimed, KeyedSending, Sending};
+use super::caller::{self, ApiKeyRequirement};
+use super::claims::{KeyClaimOutcome, KeyedRequest, IncomingRequest};
 use super::headers;
 use super::live::LiveCall;
 use super::message::{
-    CallerResponse, problem_response, stream_body, whole_body, with_configuration_version,
+    CallerResponse, problem_response, stream_body, full_body, with_configuration_version,
     with_request_id,
 };
 use super::regions;
@@ -37,7 +37,7 @@
 const FULL_RETRY_MS: u64 = 250;
 
 /// The entry of every call from outside.
-pub(crate) struct Front {
+pub(crate) struct CallHandler {
     context: Arc<NodeContext>,
     choices: Mutex<HashMap<String, WeightedChoice>>,
     bodies: BodyBudget,
@@ -62,7 +62,7 @@
     body: Bytes,
 }
 
-impl Front {
+impl CallHandler {
     /// An entry; `seed` (between zero and one) differs from node to node.
     pub(crate) fn new(context: Arc<NodeContext>, seed: f64) -> Self {
         let body_budget_bytes = context.settings.bounds.body_budget_bytes;
@@ -141,7 +141,7 @@
         mut log: CallLog<'_>,
     ) -> CallerResponse {
         let (context, request_id) = (&self.context, call.request_id);
-        let demand = KeyDemand::on(route);
+        let demand = ApiKeyRequirement::on(route);
         let identified = caller::identify(context, log.configuration, &call.head.headers, demand);
         let tenant = match identified {
             Ok(tenant) => tenant,
@@ -188,13 +188,13 @@
             return problem_response(&problem);
         };
         let tenant = admitted.tenant;
-        let sending = Sending {
+        let sending = IncomingRequest {
             route,
             tenant: tenant.map(|tenant| &tenant.name),
             headers: &head.headers,
             deadline: log.deadline,
         };
-        let keyed = KeyedSending::read(sending, self.context.dialect.headers());
+        let keyed = KeyedRequest::read(sending, self.context.dialect.headers());
         let call = LiveCall {
             context: Arc::clone(&self.context),
             service,
@@ -213,13 +213,13 @@
     async fn run(
         &self,
         mut call: LiveCall,
-        keyed: Result<Option<KeyedSending>, Problem>,
+        keyed: Result<Option<KeyedRequest>, Problem>,
         log: &CallLog<'_>,
     ) -> CallerResponse {
         match self.claim(keyed, &call.outgoing).await {
-            Ok(Claimed::NotNeeded) => {}
-            Ok(Claimed::ToSend(claim)) => call.claim = Some(claim),
-            Ok(Claimed::Answered(answer)) => {
+            Ok(KeyClaimOutcome::NotNeeded) => {}
+            Ok(KeyClaimOutcome::Acquired(claim)) => call.claim = Some(claim),
+            Ok(KeyClaimOutcome::Answered(answer)) => {
                 log.answered(answer.status.as_u16(), None, 0);
                 return passed_on(answer);
             }
@@ -242,13 +242,13 @@
         body: Incoming,
     ) -> CallerResponse {
         let known = match route.kind {
-            RouteKind::Rollout => submit::accepted_before(&self.context, batch, log.deadline).await,
+            RouteKind::Rollout => submit::find_accepted_batch(&self.context, batch, log.deadline).await,
             _ => Ok(None),
         };
         let problem = match known {
             Ok(Some(header)) => {
                 skip_body(body, log.deadline).await;
-                return submit::accept_again(batch, &header, log.received);
+                return submit::confirm_accepted_batch(batch, &header, log.received);
             }
             Ok(None) => refusal,
             Err(unknown) => unknown,
@@ -264,8 +264,8 @@
         received: BootInstant,
     ) -> BootInstant {
         let names = self.context.dialect.headers();
-        let caller_time = headers::caller_time(headers, names);
-        let times = caller_time
+        let caller_timeout = headers::caller_timeout(headers, names);
+        let times = caller_timeout
             .into_iter()
             .chain(route.map(|route| route.timeout));
         let time = times.min().unwrap_or_default();
@@ -276,7 +276,7 @@
     async fn read_body(
         &self,
         mut body: Incoming,
-        held: &mut HeldBytes,
+        held: &mut BodyReservation,
         deadline: BootInstant,
     ) -> Result<Bytes, Problem> {
         let limit = self.context.limits().body_bytes;
@@ -349,12 +349,12 @@
     /// Claims the key of a request, if it runs under one.
     async fn claim(
         &self,
-        keyed: Result<Option<KeyedSending>, Problem>,
-        outgoing: &Outgoing,
-    ) -> Result<Claimed, Problem> {
+        keyed: Result<Option<KeyedRequest>, Problem>,
+        outgoing: &OutgoingRequest,
+    ) -> Result<KeyClaimOutcome, Problem> {
         match (keyed?, &self.context.claims) {
             (Some(keyed), Some(claims)) => claims.claim(keyed, outgoing).await,
-            _ => Ok(Claimed::NotNeeded),
+            _ => Ok(KeyClaimOutcome::NotNeeded),
         }
     }
 
@@ -366,14 +366,14 @@
         request_id: &RequestId,
         tenant: Option<&Tenant>,
         body: Bytes,
-    ) -> Outgoing {
+    ) -> OutgoingRequest {
         let names = self.context.dialect.headers();
         let path_and_query = head.uri.path_and_query();
         let path_and_query = path_and_query.map_or_else(|| "/".to_owned(), ToString::to_string);
         let mut sent = headers::end_to_end(&head.headers);
         caller::set_tenant(&mut sent, names, tenant.map(|tenant| &tenant.name));
         headers::set_text(&mut sent, &names.request_id, request_id.as_str());
-        Outgoing {
+        OutgoingRequest {
             request_id: request_id.as_str().to_owned(),
             method: head.method,
             path_and_query,
@@ -441,7 +441,7 @@
 
 /// A back end's whole answer as it goes to the caller.
 fn passed_on(answer: WholeAnswer) -> CallerResponse {
-    let mut response = Response::new(whole_body(answer.body));
+    let mut response = Response::new(full_body(answer.body));
     *response.status_mut() = answer.status;
     let headers = headers::end_to_end(&answer.headers);
     *response.headers_mut() = headers;
--- a/crates/sloetrail-serving/src/gateway/known_batch.rs
+++ b/crates/sloetrail-serving/src/gateway/known_batch.rs
@@ -1,6 +1,6 @@
 //! Batches that were accepted, as the table tells of them.
 
-use super::caller::may_know;
+use super::caller::may_access_batch;
 use crate::batch_rows::read_header;
 use crate::context::NodeContext;
 use crate::table::ReadError;
@@ -14,13 +14,13 @@
 pub(super) const RETRY_AFTER: Duration = Duration::from_millis(150);
 
 /// The head of a batch that a caller may know of. To another tenant it does not exist.
-pub(crate) async fn header_of(
+pub(crate) async fn find_header(
     context: &NodeContext,
     id: &str,
     caller: Option<&Tenant>,
 ) -> Result<BatchHeader, Problem> {
     match read_header(&*context.table, id).await {
-        Ok(Some((header, _))) if may_know(&header, caller) => Ok(header),
+        Ok(Some((header, _))) if may_access_batch(&header, caller) => Ok(header),
         Ok(_) => {
             let detail = format!("batch {id}");
             Err(Problem::new(ResultCode::UnknownBatch, detail))
--- a/crates/sloetrail-serving/src/gateway/read.rs
+++ b/crates/sloetrail-serving/src/gateway/read.rs
@@ -4,9 +4,9 @@
 //! A node that cannot read them says so; only the absence of the head's row, as the
 //! table tells it, means that there is no such batch.
 
-use super::known_batch::{header_of, table_unavailable};
-use super::message::{CallerResponse, json_response, problem_response, whole_body};
-use super::reading_time::{PAGE_BYTES, ReadingTime};
+use super::batch_lookup::{find_header, table_unavailable};
+use super::message::{CallerResponse, json_response, problem_response, full_body};
+use super::result_wait::{MAX_PAGE_BYTES, ResultWait};
 use crate::batch_rows::{read_results, read_submission};
 use crate::context::NodeContext;
 use crate::events::{self, Event};
@@ -71,24 +71,24 @@
     let began = BootInstant::now();
     // Both at once: it saves an answer of the table, 28 ms where that is in another region.
     let (header, listed) = tokio::join!(
-        header_of(context, id, caller),
+        find_header(context, id, caller),
         read_results(&*context.table, id, position)
     );
     let header = header?;
     let time = match context.settings.policies.gather_results {
-        true => ReadingTime::new(began, wait, &header, context.table.now_ms()),
-        false => ReadingTime::for_any_result(began, wait),
+        true => ResultWait::new(began, wait, &header, context.table.now_ms()),
+        false => ResultWait::for_any_result(began, wait),
     };
     let mut known = listed.map_err(|_| table_unavailable())?;
     loop {
         let next = position + known.len();
         let next_look = BootInstant::now() + LOOK_PERIOD;
-        let kept_until = time.kept_until(&known);
-        if next >= header.total || next_look > kept_until {
+        let wait_deadline = time.wait_deadline(&known);
+        if next >= header.total || next_look > wait_deadline {
             return Ok(page(position, header.total, known, demand));
         }
         sloetrail_clock::sleep_until(next_look).await;
-        match look(context, id, next, kept_until + LAST_LOOK).await {
+        match look(context, id, next, wait_deadline + LAST_LOOK).await {
             Look::Answered(more) => known.extend(more),
             Look::Failed if known.is_empty() => return Err(table_unavailable()),
             // What is known is told now: the table may stay away for longer.
@@ -140,7 +140,7 @@
     let mut bytes = 0;
     let fits = |(index, result): &(usize, ToldResult)| {
         bytes += result.text.len();
-        *index == 0 || bytes <= PAGE_BYTES
+        *index == 0 || bytes <= MAX_PAGE_BYTES
     };
     let told = listed
         .into_iter()
@@ -168,7 +168,7 @@
     caller: Option<&Tenant>,
     item: &str,
 ) -> Result<CallerResponse, Problem> {
-    let header = header_of(context, id, caller).await?;
+    let header = find_header(context, id, caller).await?;
     let stored = read_submission(&*context.table, id, header.body_rows).await;
     let stored = stored
         .map_err(|_| table_unavailable())?
@@ -179,5 +179,5 @@
         let detail = format!("batch {id} has no item {item}");
         return Err(Problem::new(ResultCode::UnknownBatch, detail));
     };
-    Ok(http::Response::new(whole_body(found.body)))
+    Ok(http::Response::new(full_body(found.body)))
 }
--- a/crates/sloetrail-serving/src/gateway/reading_time.rs
+++ b/crates/sloetrail-serving/src/gateway/reading_time.rs
@@ -18,14 +18,14 @@
 
 /// The time of one reader.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ReadingTime {
+pub(super) struct ResultWait {
     began: BootInstant,
     wait: Duration,
     /// How long it may be kept for more than it has.
     gathering: Duration,
 }
 
-impl ReadingTime {
+impl ResultWait {
     /// A reader that came at `began` and waits for `wait`. `now_ms` is the table's clock then;
     /// without it the batch counts as due.
     pub(super) fn new(
--- a/crates/sloetrail-serving/src/gateway/submit.rs
+++ b/crates/sloetrail-serving/src/gateway/submit.rs
@@ -13,11 +13,11 @@
 mod repeat;
 mod waiting;
 
-pub(crate) use self::repeat::{accept_again, accepted_before};
+pub(crate) use self::repeat::{confirm_accepted_batch, find_accepted_batch};
 pub(crate) use self::waiting::WaitingSubmissions;
 
 use self::waiting::{Hindrance, wait_for_table};
-use super::known_batch::{RETRY_AFTER, header_of, table_unavailable};
+use super::batch_lookup::{RETRY_AFTER, find_header, table_unavailable};
 use super::message::{CallerResponse, empty_response, problem_response};
 use super::regions;
 use crate::batch_rows::encode_header;
@@ -134,7 +134,7 @@
     let submission = Submission::parse(body)
         .map_err(|error| Problem::new(ResultCode::MalformedRequest, error.to_string()))?;
     let items = submission.items.len();
-    let regions = regions::of_batch(call.configuration, &call.regions, &submission);
+    let regions = regions::for_batch(call.configuration, &call.regions, &submission);
     let (model, oldest_version) = (submission.model.clone(), submission.min_version);
     // A submission may wait for the table: only its body is held meanwhile.
     drop(submission);
@@ -298,7 +298,7 @@
     id: &str,
     caller: Option<&Tenant>,
 ) -> CallerResponse {
-    if let Err(problem) = header_of(context, id, caller).await {
+    if let Err(problem) = find_header(context, id, caller).await {
         return problem_response(&problem);
     }
     let transaction = Transaction::new().put(rows::end(id), Bytes::from_static(b"ended"));
--- a/crates/sloetrail-serving/src/node.rs
+++ b/crates/sloetrail-serving/src/node.rs
@@ -5,13 +5,13 @@
 use crate::dialect::Dialect;
 use crate::directory::watch_directory;
 use crate::directory_interest::{DirectoryInterest, keep_enough};
-use crate::ended_lives::watch_ended_lives;
+use crate::ended_incarnations::watch_ended_incarnations;
 use crate::engine_supply::EngineSupply;
 use crate::events::{self, Event};
 use crate::follow::{FleetSize, FollowPaces, HeldReading, ViewReceiver, follow, follow_directory};
 use crate::gateway::claims::{Claims, sweep};
-use crate::gateway::front::Front;
-use crate::gateway::message::{empty_response, whole_body};
+use crate::gateway::call_handler::CallHandler;
+use crate::gateway::message::{empty_response, full_body};
 use crate::http::{ConnectionTracker, ListenerSettings, serve_connections};
 use crate::leases::watch_leased_sets;
 use crate::operator::watch_operator;
@@ -132,7 +132,7 @@
     /// True while callers are connected or what became of their keys is being written.
     fn has_work_left(&self) -> bool {
         let claims = self.context.claims.as_ref();
-        self.callers.connections() > 0 || claims.is_some_and(|claims| claims.open_writes() > 0)
+        self.callers.connections() > 0 || claims.is_some_and(|claims| claims.pending_writes() > 0)
     }
 
     /// Where callers reach the node.
@@ -259,11 +259,11 @@
         directory.clone(),
         in_force.clone(),
     );
-    let ended_lives = watch_ended_lives(directory.clone());
+    let ended_incarnations = watch_ended_incarnations(directory.clone());
     let (quarantine, crashes_taken_in) = Quarantine::start(
         &settings,
         Arc::clone(&table),
-        (directory.clone(), ended_lives.clone()),
+        (directory.clone(), ended_incarnations.clone()),
         views.leases.clone(),
     );
     let beliefs = [
@@ -307,7 +307,7 @@
         peers,
         dialect,
         pools,
-        ended_lives,
+        ended_incarnations,
         quarantine,
         directory,
         directory_taken_in,
@@ -326,7 +326,7 @@
 
 fn serve_callers(context: &Arc<NodeContext>, listener: TcpListener, tracker: ConnectionTracker) {
     let seed = digest(context.settings.instance.as_str().as_bytes()) as f64 / u64::MAX as f64;
-    let front = Arc::new(Front::new(Arc::clone(context), seed));
+    let call_handler = Arc::new(CallHandler::new(Arc::clone(context), seed));
     let context = Arc::clone(context);
     let settings = move || {
         let limits = context.limits();
@@ -336,8 +336,8 @@
         }
     };
     let serving = serve_connections(listener, settings, tracker, move |request| {
-        let front = Arc::clone(&front);
-        async move { front.answer(request).await }
+        let call_handler = Arc::clone(&call_handler);
+        async move { call_handler.answer(request).await }
     });
     tokio::spawn(serving);
 }
@@ -381,7 +381,7 @@
         let answer = context.quarantine.answer_operator(method, path);
         let response = answer.unwrap_or_else(|| {
             telemetry::beliefs(&beliefs(&context, &callers));
-            http::Response::new(whole_body(telemetry::render()))
+            http::Response::new(full_body(telemetry::render()))
         });
         async move { response }
     });
--- a/crates/sloetrail-serving/src/owner/mod.rs
+++ b/crates/sloetrail-serving/src/owner/mod.rs
@@ -1,12 +1,12 @@
-//! The owner of a service's batches: one node at a time for each set of regions to which
-//! batches are bound.
+//! The owner of a service's batches. There is one owner at a time for each set of regions to
+//! which batches are bound.
 //!
-//! The holder of the lease of such a [`BatchSet`] ([`crate::leases`]) runs a
-//! [`service_owner::ServiceOwner`]: it loads the open batches from the table, sends items
-//! to engines ([`run`]), has whole texts scored ([`reward_queue`], [`reward`]), commits results in groups
-//! ([`committer`]) and brings the engines to the published versions ([`rollout_plan`],
-//! [`weights`]). Only the owner of the batches that may be anywhere gives orders to engines; the
-//! others tell it what their batches take ([`place_demand`]).
+//! The node that holds the lease of a [`BatchSet`] ([`crate::leases`]) runs a
+//! [`service_owner::ServiceOwner`]. It loads open batches from the table, sends items to engines
+//! ([`run`]), has complete texts scored ([`reward_queue`], [`reward`]), commits results in
+//! groups ([`committer`]) and brings engines to the published weight versions ([`rollout_plan`],
+//! [`weights`]). Only the owner of unbound batches sends orders to engines; the other owners
+//! report their slot demand to it ([`place_demand`]).
 
 mod assignment;
 mod batch_turns;
@@ -15,7 +15,7 @@
 mod engine_sends;
 mod engines;
 mod event;
-mod item_story;
+mod item_timeline;
 mod loading;
 mod pace;
 mod place_demand;
@@ -31,25 +31,23 @@
 
 use self::service_owner::ServiceOwner;
 use crate::context::NodeContext;
-use crate::leases::{BatchSet, Term, TermWork};
+use crate::leases::{BatchSet, Term, LeaseTask};
 use futures_util::future::BoxFuture;
 use std::sync::Arc;
 
-/// What the holder of the lease of batches does: it owns them.
-pub(crate) struct BatchesWork {
-    /// The node's parts.
+/// The task of the node that holds the lease of a batch set.
+pub(crate) struct BatchOwnerTask {
     pub(crate) context: Arc<NodeContext>,
-    /// The batches.
     pub(crate) set: BatchSet,
 }
 
-impl TermWork for BatchesWork {
+impl LeaseTask for BatchOwnerTask {
     fn run(&self, term: Term) -> BoxFuture<'static, ()> {
         let owner = ServiceOwner::new(Arc::clone(&self.context), self.set.clone(), term);
         Box::pin(owner.run())
     }
 
-    fn waits_for_back_ends(&self) -> bool {
+    fn uses_min_poll_interval(&self) -> bool {
         true
     }
 }
--- a/crates/sloetrail-serving/src/owner/service_owner/demand.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/demand.rs
@@ -1,10 +1,10 @@
-//! What the bound batches of an owner take of the engines, told to the one that orders these.
+//! Reports the slot demand of region-bound batches to the owner that orders engines.
 
 use super::ServiceOwner;
 use crate::context::NodeContext;
 use crate::events::{self, Event};
 use crate::leases::Term;
-use crate::owner::event::{DemandWritten, OwnerEvent};
+use crate::owner::event::{DemandWriteOutcome, OwnerEvent};
 use crate::owner::place_demand::{DemandRow, StoredDemand};
 use crate::rows;
 use crate::table::Commit;
@@ -12,10 +12,9 @@
 use std::sync::Arc;
 
 impl ServiceOwner {
-    /// Writes down what the batches take of the engines, if that is due and engines can be
-    /// ordered at all.
-    pub(super) fn tell_demand(&mut self) {
-        if self.set.is_in_charge_of_engines() || self.engine_supply().is_none() {
+    /// Writes the slot demand row if it is due and engines can be ordered.
+    pub(super) fn report_demand(&mut self) {
+        if self.set.controls_engine_count() || self.engine_supply().is_none() {
             return;
         }
         let running: usize = self.batches.values().map(|open| open.runs.len()).sum();
@@ -41,16 +40,16 @@
         let (context, term) = (Arc::clone(&self.context), self.term.clone());
         let sender = self.sender.clone();
         tokio::spawn(async move {
-            let written = write(&context, &term, &row).await;
-            // The owner may be gone; then nobody needs it.
-            let _ = sender.send(OwnerEvent::DemandWritten(written));
+            let outcome = write_demand(&context, &term, &row).await;
+            // The receiver is gone if the term has ended.
+            let _ = sender.send(OwnerEvent::DemandWritten(outcome));
         });
     }
 
-    /// The row of the set as this node knows it, of whichever owner.
+    /// The set's row in this node's view, whichever owner wrote it.
     fn stored_demand(&self) -> StoredDemand {
         let view = self.context.leases.borrow().clone();
-        let address = rows::place_demand(self.term.subject.name());
+        let address = rows::place_demand(self.term.resource.name());
         let Some(row) = view.rows.get(&address.key) else {
             return StoredDemand::Absent;
         };
@@ -58,29 +57,29 @@
         decoded.map_or(StoredDemand::Unreadable, StoredDemand::Row)
     }
 
-    pub(super) fn demand_written(&mut self, written: DemandWritten) {
-        self.demand.written(written == DemandWritten::Done);
-        if written == DemandWritten::Fenced {
+    pub(super) fn demand_written(&mut self, outcome: DemandWriteOutcome) {
+        self.demand.written(outcome == DemandWriteOutcome::Done);
+        if outcome == DemandWriteOutcome::Fenced {
             self.term.ended.cancel();
         }
     }
 }
 
-async fn write(context: &NodeContext, term: &Term, row: &DemandRow) -> DemandWritten {
-    let address = rows::place_demand(term.subject.name());
+async fn write_demand(context: &NodeContext, term: &Term, row: &DemandRow) -> DemandWriteOutcome {
+    let address = rows::place_demand(term.resource.name());
     let transaction = term.transaction().put(address, row.encode());
-    let written = match context.table.commit(&transaction).await {
-        Ok(Commit::Done(_)) => DemandWritten::Done,
-        Ok(Commit::Conflict(_)) => DemandWritten::Fenced,
-        Err(_) => DemandWritten::Unknown,
+    let outcome = match context.table.commit(&transaction).await {
+        Ok(Commit::Done(_)) => DemandWriteOutcome::Done,
+        Ok(Commit::Conflict(_)) => DemandWriteOutcome::Fenced,
+        Err(_) => DemandWriteOutcome::Unknown,
     };
     events::emit(&Event::DemandTold {
-        service: term.subject.name(),
+        service: term.resource.name(),
         busy: row.demand.busy,
         wanted: row.demand.wanted,
         step_percent: row.demand.step_percent,
         epoch: row.epoch,
-        outcome: written.word(),
+        outcome: outcome.as_str(),
     });
-    written
+    outcome
 }
--- a/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
@@ -1,10 +1,9 @@
-//! Moving items to other engines: off those that are much slower than the others, and
-//! long texts to faster ones.
+//! Moves running items to faster engines.
 //!
-//! A step ends with its longest texts, and by then most places are free. A text that is
-//! being made on an engine slower than one with a free place is moved there if the time
-//! that this saves is worth reading it again: its run is closed, and it goes on after
-//! its last event. A place is kept for it meanwhile.
+//! A step ends when its longest texts are complete, and by then most slots are free. A text is
+//! moved to a faster engine with a free slot if the saved time outweighs the cost of processing
+//! its prefix again. A slot is reserved on the target, the run is closed, and the item continues
+//! on the target after its last event.
 
 use super::{ActiveRun, ServiceOwner};
 use crate::events::{self, Event};
@@ -15,44 +14,43 @@
 use sloetrail_types::EngineId;
 use std::time::Duration;
 
-/// A move must save at least this: reading the text again takes some tens of
-/// milliseconds, and what remains of a text is an estimate.
-const GAIN_LEAST: Duration = Duration::from_millis(250);
-/// A run is not moved before: until then its engine's pace is that of earlier runs.
-const RUN_LEAST: Duration = Duration::from_millis(400);
-/// A text that has moved stays for this long: paces vary with the load.
-const STAY_LEAST: Duration = Duration::from_millis(1_500);
-/// A text is moved only if it has at least this share of what the longest of its batch has
-/// left. The batch is done no sooner if another one is, and each move closes a connection and
-/// has the text read again.
-const CRITICAL_SHARE: f64 = 0.75;
+/// Minimum time that a move must save, to cover processing the prefix again.
+const MIN_GAIN: Duration = Duration::from_millis(250);
+/// Minimum duration of a run before its first move. Until then the engine's event interval reflects
+/// earlier runs.
+const MIN_RUN_TIME: Duration = Duration::from_millis(400);
+/// Minimum duration of a run after a move, since event intervals vary with load.
+const MIN_STAY: Duration = Duration::from_millis(1_500);
+/// A text is moved only if its remaining time is at least this share of the longest remaining
+/// time in its batch. Moving a shorter text would not complete the batch sooner.
+const MIN_CRITICAL_SHARE: f64 = 0.75;
 
-/// A run that would be done sooner elsewhere.
+/// A run that may be moved.
 struct Candidate {
     index: ItemIndex,
-    /// Events that are still expected.
+    /// Expected number of events that remain.
     remaining: f64,
-    /// Microseconds an event where it runs.
-    pace: u64,
+    /// Event interval of the current engine.
+    event_interval_us: u64,
 }
 
 impl Candidate {
-    /// The time that it takes where it runs, in microseconds.
-    fn time_left(&self) -> f64 {
-        self.pace as f64 * self.remaining
+    /// Expected time until completion on the current engine.
+    fn time_left_us(&self) -> f64 {
+        self.event_interval_us as f64 * self.remaining
     }
 
-    /// The time that going on at an engine saves, if it is clearly faster.
-    fn gain_at(&self, engine: &FreeEngine) -> Option<Duration> {
-        let is_clear = self.pace as f64 > engine.pace as f64 * PACE_STEP;
-        let saved = self.pace.saturating_sub(engine.pace) as f64 * self.remaining;
-        is_clear.then(|| Duration::from_micros(saved as u64))
+    /// Expected time saved by continuing on `engine`. None if it is not clearly faster.
+    fn gain_on(&self, engine: &FreeEngine) -> Option<Duration> {
+        let is_clearly_faster = self.event_interval_us as f64 > engine.pace as f64 * PACE_STEP;
+        let saved = self.event_interval_us.saturating_sub(engine.pace) as f64 * self.remaining;
+        is_clearly_faster.then(|| Duration::from_micros(saved as u64))
     }
 }
 
 impl ServiceOwner {
-    /// Gives up runs on slow engines while others have free places; they go on there
-    /// from the text that is kept.
+    /// Cancels runs on slow engines while fast engines have free slots. The items continue there
+    /// from the text so far.
     pub(super) fn move_from_slow_engines(&mut self, now: BootInstant) {
         for open in self.batches.values() {
             let demand = Demand {
@@ -62,20 +60,20 @@
             if open.batch.waiting() > 0 {
                 continue;
             }
-            let mut places = self.engines.fast_places(demand, now);
+            let mut slots = self.engines.fast_places(demand, now);
             for run in open.runs.values() {
                 let engine = self.engines.get(&run.engine);
                 let is_slow = engine.is_some_and(|engine| engine.is_slow());
-                if places > 0 && is_slow && !run.cancel.is_cancelled() {
+                if slots > 0 && is_slow && !run.cancel.is_cancelled() {
                     run.cancel.cancel();
-                    places -= 1;
+                    slots -= 1;
                 }
             }
         }
     }
 
-    /// Closes the runs of long texts that would be done sooner on a faster engine with
-    /// a free place.
+    /// Closes the runs of long texts that would complete sooner on a faster engine with a free
+    /// slot.
     pub(super) fn move_long_texts(&mut self, now: BootInstant) {
         if !self.context.settings.policies.move_long_texts {
             return;
@@ -92,14 +90,14 @@
                     candidate(&open.batch, *index, run, &self.engines, &self.lengths, now)
                 })
                 .collect();
-            keep_critical(&mut candidates);
+            retain_critical(&mut candidates);
             let mut target = free.next();
             for candidate in candidates {
                 let Some(engine) = &target else {
                     break;
                 };
-                let gain = candidate.gain_at(engine);
-                let Some(gain) = gain.filter(|gain| *gain >= GAIN_LEAST) else {
+                let gain = candidate.gain_on(engine);
+                let Some(gain) = gain.filter(|gain| *gain >= MIN_GAIN) else {
                     continue;
                 };
                 let Some(run) = open.runs.get_mut(&candidate.index) else {
@@ -113,7 +111,7 @@
                     remaining_events: candidate.remaining as u64,
                     gain_ms: gain.as_millis() as u64,
                 });
-                run.moves_to = Some(engine.id.clone());
+                run.move_target = Some(engine.id.clone());
                 run.cancel.cancel();
                 if let Some(engine) = self.engines.get_mut(&engine.id) {
                     engine.keep_place(now);
@@ -123,8 +121,8 @@
         }
     }
 
-    /// Goes on with an item whose run was closed so that it can move.
-    pub(super) fn go_on_at(&mut self, id: &BatchId, index: ItemIndex, engine: EngineId) {
+    /// Continues an item on the engine where a slot was reserved for its move.
+    pub(super) fn resume_at(&mut self, id: &BatchId, index: ItemIndex, engine: EngineId) {
         self.engines.release_place(Some(&engine));
         let Some(open) = self.batches.get(id) else {
             return;
@@ -133,12 +131,12 @@
             model: open.batch.model.as_deref(),
             oldest_version: open.batch.oldest_version,
         };
-        let wanted = open.batch.is_wanted(index);
+        let required = open.batch.is_wanted(index);
         let target = self.engines.get(&engine);
-        // Otherwise it waits and goes wherever there is room.
+        // If the target cannot take the item, it waits in the queue for any engine.
         if target.is_some_and(|engine| engine.can_take(demand, BootInstant::now())) {
-            let priority = self.priority(wanted);
-            self.start_on(id, index, engine, priority);
+            let priority = self.priority(required);
+            self.start_item_on(id, index, engine, priority);
             self.mark_moved(id, index);
         }
     }
@@ -151,14 +149,16 @@
     }
 }
 
-/// Leaves the texts that decide when their batch is done, the longest first.
-fn keep_critical(candidates: &mut Vec<Candidate>) {
-    let times = candidates.iter().map(Candidate::time_left);
-    let critical = times.fold(0.0, f64::max) * CRITICAL_SHARE;
-    candidates.retain(|candidate| candidate.time_left() >= critical);
-    candidates.sort_by(|left, right| right.time_left().total_cmp(&left.time_left()));
+/// Retains the texts that determine when their batch completes, sorted by remaining time, longest
+/// first.
+fn retain_critical(candidates: &mut Vec<Candidate>) {
+    let times = candidates.iter().map(Candidate::time_left_us);
+    let critical = times.fold(0.0, f64::max) * MIN_CRITICAL_SHARE;
+    candidates.retain(|candidate| candidate.time_left_us() >= critical);
+    candidates.sort_by(|left, right| right.time_left_us().total_cmp(&left.time_left_us()));
 }
 
+/// None if the run is too recent, cancelled, or its remaining time cannot be estimated yet.
 fn candidate(
     batch: &Batch,
     index: ItemIndex,
@@ -167,22 +167,22 @@
     lengths: &LengthModel,
     now: BootInstant,
 ) -> Option<Candidate> {
-    let stays_for = match run.has_moved {
-        true => STAY_LEAST,
-        false => RUN_LEAST,
+    let min_run_time = match run.has_moved {
+        true => MIN_STAY,
+        false => MIN_RUN_TIME,
     };
-    let is_young = now < run.began + stays_for;
-    if is_young || run.cancel.is_cancelled() {
+    let is_recent = now < run.started_at + min_run_time;
+    if is_recent || run.cancel.is_cancelled() {
         return None;
     }
-    let pace = engines.get(&run.engine)?.pace.microseconds()?;
+    let event_interval_us = engines.get(&run.engine)?.pace.microseconds()?;
     let made = run.progress.events();
-    let hinted = batch.item(index).expected_length;
-    let remaining = lengths.remaining_events(hinted, made)?;
+    let hint = batch.item(index).expected_length;
+    let remaining = lengths.remaining_events(hint, made)?;
     Some(Candidate {
         index,
         remaining,
-        pace,
+        event_interval_us,
     })
 }
 
--- a/crates/sloetrail-serving/src/owner/service_owner/scoring.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/scoring.rs
@@ -1,4 +1,4 @@
-//! Whole texts: scored in the order of their queue, then listed.
+//! Scores complete texts through their reward calls and lists the results.
 
 use super::ServiceOwner;
 use crate::owner::event::OwnerEvent;
@@ -9,14 +9,14 @@
 use std::sync::Arc;
 
 impl ServiceOwner {
-    /// Lets a whole text wait for its score, or lists it if it needs none.
-    pub(super) fn begin_reward(&mut self, id: &BatchId, index: ItemIndex) {
+    /// Queues a complete text for scoring. Lists it right away if it has no reward call.
+    pub(super) fn enqueue_scoring(&mut self, id: &BatchId, index: ItemIndex) {
         let Some(open) = self.batches.get(id) else {
             return;
         };
         let header = &open.batch.header;
         let Some(call) = &open.batch.item(index).submitted.reward else {
-            self.succeed(id, index, None);
+            self.list_as_succeeded(id, index, None);
             return;
         };
         let lane = reward::lane(&self.context, call, &header.allowed_regions);
@@ -28,20 +28,20 @@
             .push(Scoring::new(id.clone(), index, lane, rank));
     }
 
-    /// Has as many texts scored as there are places for.
-    pub(super) fn score_texts(&mut self) {
+    /// Starts scoring queued texts while slots are free.
+    pub(super) fn start_scorings(&mut self) {
         let context = Arc::clone(&self.context);
-        let places = |lane: &Lane| match &lane.service {
+        let slots = |lane: &Lane| match &lane.service {
             Some(service) => context.pools.places_beside_callers(service, &lane.regions),
             None => 0,
         };
-        for scoring in self.rewards.start(BootInstant::now(), places) {
-            self.score(scoring);
+        for scoring in self.rewards.start(BootInstant::now(), slots) {
+            self.start_scoring(scoring);
         }
     }
 
-    /// Drops the texts whose batch has ended, or that were given up.
-    pub(super) fn drop_scored(&mut self) {
+    /// Drops queued texts whose batch has ended or whose item is dead.
+    pub(super) fn drop_unneeded_scorings(&mut self) {
         let batches = &self.batches;
         self.rewards.retain(|scoring| {
             let open = batches.get(&scoring.batch);
@@ -49,7 +49,7 @@
         });
     }
 
-    fn score(&mut self, scoring: Scoring) {
+    fn start_scoring(&mut self, scoring: Scoring) {
         let open = self.batches.get(&scoring.batch);
         let Some(open) = open.filter(|open| open.needs_score(scoring.index)) else {
             self.rewards
@@ -70,7 +70,7 @@
                 }
                 None => RewardOutcome::Cancelled,
             };
-            // The owner may be gone; then nobody needs it.
+            // The receiver is gone if the term has ended.
             let _ = sender.send(OwnerEvent::RewardEnded(scoring, outcome));
         });
     }
@@ -85,7 +85,7 @@
             settled => {
                 self.rewards.tried(now, scoring, Tried::Settled);
                 if let (RewardOutcome::Scored(score), true) = (settled, is_needed) {
-                    self.succeed(&id, index, Some(score));
+                    self.list_as_succeeded(&id, index, Some(score));
                 }
                 return;
             }
@@ -93,21 +93,21 @@
         scoring.failures += failure.failed_answers;
         if scoring.failures >= failure.allowed {
             self.rewards.tried(now, scoring, Tried::Settled);
-            self.give_up(&id, index, DeathCause::RewardFailed);
+            self.list_as_dead(&id, index, DeathCause::RewardFailed);
             return;
         }
-        self.rewards.tried(now, scoring, tried(failure));
+        self.rewards.tried(now, scoring, attempt_outcome(failure));
     }
 }
 
 impl super::OpenBatch {
-    /// True if an item's text is whole and has no score yet.
+    /// True if the item's text is complete and not yet scored.
     fn needs_score(&self, index: ItemIndex) -> bool {
         self.batch.item(index).state == ItemState::Rewarding
     }
 }
 
-fn tried(failure: RewardFailure) -> Tried {
+fn attempt_outcome(failure: RewardFailure) -> Tried {
     match failure {
         failure if failure.is_kept_back => Tried::KeptBack,
         failure if failure.found_no_place => Tried::FoundNoPlace,
