--- a/crates/sloetrail-serving/src/gateway/known_batch.rs
+++ b/crates/sloetrail-serving/src/gateway/batch_lookup.rs
@@ -14,7 +14,7 @@
 pub(super) const RETRY_AFTER: Duration = Duration::from_millis(150);
 
 /// The head of a batch that a caller may know of. To another tenant it does not exist.
-pub(crate) async fn header_of(
+pub(crate) async fn find_header(
     context: &NodeContext,
     id: &str,
     caller: Option<&Tenant>,
--- a/crates/sloetrail-serving/src/gateway/claims.rs
+++ b/crates/sloetrail-serving/src/gateway/claims.rs
@@ -18,8 +18,8 @@
 use self::record::{ClaimRecord, ClaimState, RequestIdentity, Verdict};
 use self::writes::{Claiming, Settled};
 use super::attempt::Outgoing;
+use super::batch_lookup::RETRY_AFTER;
 use super::headers;
-use super::known_batch::RETRY_AFTER;
 use crate::dialect::HeaderNames;
 use crate::http::WholeAnswer;
 use crate::rows;
@@ -57,11 +57,11 @@
     /// Tells the sendings of this life apart.
     next_number: AtomicU64,
     /// Writes that have no answer yet.
-    open_writes: AtomicUsize,
+    pending_writes: AtomicUsize,
 }
 
 /// A request that may carry a key.
-pub(crate) struct Sending<'a> {
+pub(crate) struct IncomingRequest<'a> {
     pub(crate) route: &'a Route,
     pub(crate) tenant: Option<&'a TenantName>,
     /// As its caller sent them.
@@ -71,7 +71,7 @@
 }
 
 /// A key that is to be claimed for a request.
-pub(crate) struct KeyedSending {
+pub(crate) struct KeyedRequest {
     key: IdempotencyKey,
     tenant: Option<TenantName>,
     host: String,
@@ -79,11 +79,11 @@
 }
 
 /// What became of the claim of a key.
-pub(crate) enum Claimed {
+pub(crate) enum KeyClaimOutcome {
     /// The request runs under no key.
     NotNeeded,
     /// The request may be sent.
-    ToSend(Arc<Claim>),
+    Acquired(Arc<Claim>),
     /// It ran before; this is its answer.
     Answered(WholeAnswer),
 }
@@ -96,13 +96,13 @@
             claimant: settings.instance.clone(),
             kept: settings.bounds.claims_kept,
             next_number: AtomicU64::new(1),
-            open_writes: AtomicUsize::new(0),
+            pending_writes: AtomicUsize::new(0),
         })
     }
 
     /// Writes that have no answer yet.
-    pub(crate) fn open_writes(&self) -> usize {
-        self.open_writes.load(Ordering::SeqCst)
+    pub(crate) fn pending_writes(&self) -> usize {
+        self.pending_writes.load(Ordering::SeqCst)
     }
 
     /// Claims the key of a request, or tells what its earlier claim says.
@@ -114,9 +114,9 @@
     /// another request.
     pub(crate) async fn claim(
         self: &Arc<Self>,
-        sending: KeyedSending,
+        sending: KeyedRequest,
         outgoing: &Outgoing,
-    ) -> Result<Claimed, Problem> {
+    ) -> Result<KeyClaimOutcome, Problem> {
         let outcome = self.claim_in_time(sending, outgoing).await;
         telemetry::key_claimed(word(&outcome));
         outcome
@@ -124,9 +124,9 @@
 
     async fn claim_in_time(
         self: &Arc<Self>,
-        sending: KeyedSending,
+        sending: KeyedRequest,
         outgoing: &Outgoing,
-    ) -> Result<Claimed, Problem> {
+    ) -> Result<KeyClaimOutcome, Problem> {
         let now_ms = self.table.now_ms().filter(|_| self.may_be_settled());
         let Some(now_ms) = now_ms else {
             return Err(self.unavailable());
@@ -144,7 +144,7 @@
         let (sender, receiver) = oneshot::channel();
         tokio::spawn(claiming.run(give_up_at, sender));
         match sloetrail_clock::timeout_at(give_up_at, receiver).await {
-            Ok(Ok(Settled::Held(claim))) => Ok(Claimed::ToSend(claim)),
+            Ok(Ok(Settled::Held(claim))) => Ok(KeyClaimOutcome::Acquired(claim)),
             Ok(Ok(Settled::Met(verdict))) => answer_of(verdict),
             Ok(Err(_)) | Err(_) => Err(self.unavailable()),
         }
@@ -167,7 +167,7 @@
 
     fn record(
         &self,
-        sending: &KeyedSending,
+        sending: &KeyedRequest,
         outgoing: &Outgoing,
         now_ms: u64,
         left: Duration,
@@ -184,13 +184,16 @@
     }
 }
 
-impl KeyedSending {
+impl KeyedRequest {
     /// The key of a request that runs under one; nothing if it carries none, or may repeat.
     ///
     /// # Errors
     ///
     /// If what it carries is no key.
-    pub(crate) fn read(sending: Sending<'_>, names: &HeaderNames) -> Result<Option<Self>, Problem> {
+    pub(crate) fn read(
+        sending: IncomingRequest<'_>,
+        names: &HeaderNames,
+    ) -> Result<Option<Self>, Problem> {
         let Some(name) = &names.idempotency_key else {
             return Ok(None);
         };
@@ -215,7 +218,7 @@
     }
 }
 
-fn identity(sending: &KeyedSending, outgoing: &Outgoing) -> RequestIdentity {
+fn identity(sending: &KeyedRequest, outgoing: &Outgoing) -> RequestIdentity {
     let parts = [
         outgoing.method.as_str().as_bytes(),
         outgoing.path_and_query.as_bytes(),
@@ -229,10 +232,10 @@
 }
 
 /// What a request is answered whose key was claimed before.
-fn answer_of(verdict: Verdict) -> Result<Claimed, Problem> {
+fn answer_of(verdict: Verdict) -> Result<KeyClaimOutcome, Problem> {
     match verdict {
         Verdict::Answered(answer) => match answer.restore() {
-            Some(answer) => Ok(Claimed::Answered(answer)),
+            Some(answer) => Ok(KeyClaimOutcome::Answered(answer)),
             None => answer_of(Verdict::OutcomeUnknown),
         },
         Verdict::OtherRequest => {
@@ -261,11 +264,11 @@
 }
 
 /// The outcome of a claim, for metrics.
-fn word(outcome: &Result<Claimed, Problem>) -> &'static str {
+fn word(outcome: &Result<KeyClaimOutcome, Problem>) -> &'static str {
     match outcome {
-        Ok(Claimed::NotNeeded) => "not_needed",
-        Ok(Claimed::ToSend(_)) => "claimed",
-        Ok(Claimed::Answered(_)) => "repeated",
+        Ok(KeyClaimOutcome::NotNeeded) => "not_needed",
+        Ok(KeyClaimOutcome::Acquired(_)) => "claimed",
+        Ok(KeyClaimOutcome::Answered(_)) => "repeated",
         Err(problem) if problem.is(ResultCode::KeyReused) => "reused",
         Err(problem) if problem.is(ResultCode::KeyInProgress) => "in_progress",
         Err(_) => "unavailable",
--- a/crates/sloetrail-serving/src/gateway/claims/claim.rs
+++ b/crates/sloetrail-serving/src/gateway/claims/claim.rs
@@ -46,12 +46,12 @@
     }
 
     /// The request is being sent to a back end.
-    pub(crate) fn note_send(&self) {
+    pub(crate) fn record_send(&self) {
         self.possible_runs.fetch_add(1, Ordering::SeqCst);
     }
 
     /// A sending that was noted is proved not to have run.
-    pub(crate) fn note_not_run(&self) {
+    pub(crate) fn record_not_run(&self) {
         self.possible_runs.fetch_sub(1, Ordering::SeqCst);
     }
 
--- a/crates/sloetrail-serving/src/gateway/claims/claim/tests.rs
+++ b/crates/sloetrail-serving/src/gateway/claims/claim/tests.rs
@@ -53,7 +53,7 @@
         claimant: NodeId::from("node-1"),
         kept: Duration::from_secs(60),
         next_number: AtomicU64::new(1),
-        open_writes: AtomicUsize::new(0),
+        pending_writes: AtomicUsize::new(0),
     })
 }
 
@@ -90,16 +90,16 @@
 async fn a_node_that_stops_sees_the_write_of_an_answer_from_the_moment_of_its_end() {
     let claims = claims();
     let claim = claim(&claims);
-    claim.note_send();
+    claim.record_send();
     claim.end(Ok(&answer()));
-    assert_eq!(claims.open_writes(), 1);
+    assert_eq!(claims.pending_writes(), 1);
 }
 
 #[tokio::test]
 async fn a_node_that_stops_sees_that_a_key_is_given_back_from_the_moment_of_its_drop() {
     let claims = claims();
     drop(claim(&claims));
-    assert_eq!(claims.open_writes(), 1);
+    assert_eq!(claims.pending_writes(), 1);
 }
 
 #[tokio::test]
@@ -110,31 +110,31 @@
         ..answer()
     };
     let claim = claim(&claims);
-    claim.note_send();
+    claim.record_send();
     claim.end(Ok(&too_large));
     drop(claim);
-    assert_eq!(claims.open_writes(), 0);
+    assert_eq!(claims.pending_writes(), 0);
 }
 
 #[tokio::test]
 async fn a_key_is_given_back_if_all_that_was_sent_is_proved_not_to_have_run() {
     let claims = claims();
     let claim = claim(&claims);
-    claim.note_send();
-    claim.note_not_run();
-    claim.note_send();
-    claim.note_not_run();
+    claim.record_send();
+    claim.record_not_run();
+    claim.record_send();
+    claim.record_not_run();
     drop(claim);
-    assert_eq!(claims.open_writes(), 1);
+    assert_eq!(claims.pending_writes(), 1);
 }
 
 #[tokio::test]
 async fn a_key_stays_claimed_if_one_sending_may_have_run() {
     let claims = claims();
     let claim = claim(&claims);
-    claim.note_send();
-    claim.note_not_run();
-    claim.note_send();
+    claim.record_send();
+    claim.record_not_run();
+    claim.record_send();
     drop(claim);
-    assert_eq!(claims.open_writes(), 0);
+    assert_eq!(claims.pending_writes(), 0);
 }
--- a/crates/sloetrail-serving/src/gateway/claims/sweep.rs
+++ b/crates/sloetrail-serving/src/gateway/claims/sweep.rs
@@ -20,7 +20,7 @@
 const ENTRIES_A_CLAIM: usize = 3;
 
 /// Deletes claims that are past their time, now and then, for ever.
-pub(crate) async fn keep_swept(table: Arc<dyn Table>, fleet: FleetSize) {
+pub(crate) async fn run_sweeper(table: Arc<dyn Table>, fleet: FleetSize) {
     let period = Pacing::growing(&fleet, PERIOD_LEAST, PERIOD_PER_BACK_END, PERIOD_MOST);
     loop {
         // Nodes that started together do not sweep together.
--- a/crates/sloetrail-serving/src/gateway/claims/writes.rs
+++ b/crates/sloetrail-serving/src/gateway/claims/writes.rs
@@ -68,14 +68,14 @@
 
 impl OpenWrite {
     fn begin(claims: &Arc<Claims>) -> Self {
-        claims.open_writes.fetch_add(1, Ordering::SeqCst);
+        claims.pending_writes.fetch_add(1, Ordering::SeqCst);
         Self(Arc::clone(claims))
     }
 }
 
 impl Drop for OpenWrite {
     fn drop(&mut self) {
-        self.0.open_writes.fetch_sub(1, Ordering::SeqCst);
+        self.0.pending_writes.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
--- a/crates/sloetrail-serving/src/gateway/front.rs
+++ b/crates/sloetrail-serving/src/gateway/front.rs
@@ -5,7 +5,7 @@
 use super::body_budget::{BodyBudget, HeldBytes};
 use super::call_log::CallLog;
 use super::caller::{self, KeyDemand};
-use super::claims::{Claimed, KeyedSending, Sending};
+use super::claims::{IncomingRequest, KeyClaimOutcome, KeyedRequest};
 use super::headers;
 use super::live::LiveCall;
 use super::message::{
@@ -188,13 +188,13 @@
             return problem_response(&problem);
         };
         let tenant = admitted.tenant;
-        let sending = Sending {
+        let sending = IncomingRequest {
             route,
             tenant: tenant.map(|tenant| &tenant.name),
             headers: &head.headers,
             deadline: log.deadline,
         };
-        let keyed = KeyedSending::read(sending, self.context.dialect.headers());
+        let keyed = KeyedRequest::read(sending, self.context.dialect.headers());
         let call = LiveCall {
             context: Arc::clone(&self.context),
             service,
@@ -213,13 +213,13 @@
     async fn run(
         &self,
         mut call: LiveCall,
-        keyed: Result<Option<KeyedSending>, Problem>,
+        keyed: Result<Option<KeyedRequest>, Problem>,
         log: &CallLog<'_>,
     ) -> CallerResponse {
         match self.claim(keyed, &call.outgoing).await {
-            Ok(Claimed::NotNeeded) => {}
-            Ok(Claimed::ToSend(claim)) => call.claim = Some(claim),
-            Ok(Claimed::Answered(answer)) => {
+            Ok(KeyClaimOutcome::NotNeeded) => {}
+            Ok(KeyClaimOutcome::Acquired(claim)) => call.claim = Some(claim),
+            Ok(KeyClaimOutcome::Answered(answer)) => {
                 log.answered(answer.status.as_u16(), None, 0);
                 return passed_on(answer);
             }
@@ -242,13 +242,15 @@
         body: Incoming,
     ) -> CallerResponse {
         let known = match route.kind {
-            RouteKind::Rollout => submit::accepted_before(&self.context, batch, log.deadline).await,
+            RouteKind::Rollout => {
+                submit::find_accepted_batch(&self.context, batch, log.deadline).await
+            }
             _ => Ok(None),
         };
         let problem = match known {
             Ok(Some(header)) => {
                 skip_body(body, log.deadline).await;
-                return submit::accept_again(batch, &header, log.received);
+                return submit::confirm_accepted_batch(batch, &header, log.received);
             }
             Ok(None) => refusal,
             Err(unknown) => unknown,
@@ -349,12 +351,12 @@
     /// Claims the key of a request, if it runs under one.
     async fn claim(
         &self,
-        keyed: Result<Option<KeyedSending>, Problem>,
+        keyed: Result<Option<KeyedRequest>, Problem>,
         outgoing: &Outgoing,
-    ) -> Result<Claimed, Problem> {
+    ) -> Result<KeyClaimOutcome, Problem> {
         match (keyed?, &self.context.claims) {
             (Some(keyed), Some(claims)) => claims.claim(keyed, outgoing).await,
-            _ => Ok(Claimed::NotNeeded),
+            _ => Ok(KeyClaimOutcome::NotNeeded),
         }
     }
 
--- a/crates/sloetrail-serving/src/gateway/live.rs
+++ b/crates/sloetrail-serving/src/gateway/live.rs
@@ -128,16 +128,16 @@
     }
 
     /// The request is being sent to a back end.
-    pub(crate) fn note_send(&self) {
+    pub(crate) fn record_send(&self) {
         if let Some(claim) = &self.claim {
-            claim.note_send();
+            claim.record_send();
         }
     }
 
     /// A sending to a back end is proved not to have run.
-    pub(crate) fn note_not_run(&self) {
+    pub(crate) fn record_not_run(&self) {
         if let Some(claim) = &self.claim {
-            claim.note_not_run();
+            claim.record_not_run();
         }
     }
 
@@ -355,7 +355,7 @@
             return false;
         };
         self.tried.insert(place.back_end().id.clone());
-        self.call.note_send();
+        self.call.record_send();
         self.sends += 1;
         let send = self.sends;
         if let Some(begun) = &mut self.begun {
@@ -436,7 +436,7 @@
             self.may_have_run += 1;
             return;
         }
-        self.call.note_not_run();
+        self.call.record_not_run();
         if let Some(begun) = &mut self.begun {
             begun.not_run(send);
         }
--- a/crates/sloetrail-serving/src/gateway/mod.rs
+++ b/crates/sloetrail-serving/src/gateway/mod.rs
@@ -7,13 +7,13 @@
 
 pub(crate) mod attempt;
 mod batch_call;
+mod batch_lookup;
 pub(crate) mod body_budget;
 pub(crate) mod call_log;
 pub(crate) mod caller;
 pub(crate) mod claims;
 pub(crate) mod front;
 pub(crate) mod headers;
-mod known_batch;
 pub(crate) mod live;
 pub(crate) mod message;
 pub(crate) mod place_wait;
--- a/crates/sloetrail-serving/src/gateway/read.rs
+++ b/crates/sloetrail-serving/src/gateway/read.rs
@@ -4,7 +4,7 @@
 //! A node that cannot read them says so; only the absence of the head's row, as the
 //! table tells it, means that there is no such batch.
 
-use super::known_batch::{header_of, table_unavailable};
+use super::batch_lookup::{find_header, table_unavailable};
 use super::message::{CallerResponse, json_response, problem_response, whole_body};
 use super::reading_time::{PAGE_BYTES, ReadingTime};
 use crate::batch_rows::{read_results, read_submission};
@@ -71,7 +71,7 @@
     let began = BootInstant::now();
     // Both at once: it saves an answer of the table, 28 ms where that is in another region.
     let (header, listed) = tokio::join!(
-        header_of(context, id, caller),
+        find_header(context, id, caller),
         read_results(&*context.table, id, position)
     );
     let header = header?;
@@ -168,7 +168,7 @@
     caller: Option<&Tenant>,
     item: &str,
 ) -> Result<CallerResponse, Problem> {
-    let header = header_of(context, id, caller).await?;
+    let header = find_header(context, id, caller).await?;
     let stored = read_submission(&*context.table, id, header.body_rows).await;
     let stored = stored
         .map_err(|_| table_unavailable())?
--- a/crates/sloetrail-serving/src/gateway/stream.rs
+++ b/crates/sloetrail-serving/src/gateway/stream.rs
@@ -179,7 +179,7 @@
                 break;
             };
             self.tried.insert(place.back_end().id.clone());
-            self.call.note_send();
+            self.call.record_send();
             self.sends += 1;
             let began = BootInstant::now();
             match self.try_back_end(place).await {
@@ -190,7 +190,7 @@
                         self.reuse = self.reuse.after_try_at(began);
                     }
                     match result.is_proved_not_run() {
-                        true => self.call.note_not_run(),
+                        true => self.call.record_not_run(),
                         false => self.may_have_run += 1,
                     }
                     last = Some(result.word());
--- a/crates/sloetrail-serving/src/gateway/submit.rs
+++ b/crates/sloetrail-serving/src/gateway/submit.rs
@@ -10,14 +10,14 @@
 //! submission that meets one therefore waits for its end, for a part of the caller's
 //! time ([`waiting`]), and is then refused with the time to come back.
 
-mod repeat;
+mod resubmission;
 mod waiting;
 
-pub(crate) use self::repeat::{accept_again, accepted_before};
+pub(crate) use self::resubmission::{confirm_accepted_batch, find_accepted_batch};
 pub(crate) use self::waiting::WaitingSubmissions;
 
 use self::waiting::{Hindrance, wait_for_table};
-use super::known_batch::{RETRY_AFTER, header_of, table_unavailable};
+use super::batch_lookup::{RETRY_AFTER, find_header, table_unavailable};
 use super::message::{CallerResponse, empty_response, problem_response};
 use super::regions;
 use crate::batch_rows::encode_header;
@@ -298,7 +298,7 @@
     id: &str,
     caller: Option<&Tenant>,
 ) -> CallerResponse {
-    if let Err(problem) = header_of(context, id, caller).await {
+    if let Err(problem) = find_header(context, id, caller).await {
         return problem_response(&problem);
     }
     let transaction = Transaction::new().put(rows::end(id), Bytes::from_static(b"ended"));
--- a/crates/sloetrail-serving/src/gateway/submit/repeat.rs
+++ b/crates/sloetrail-serving/src/gateway/submit/resubmission.rs
@@ -7,7 +7,7 @@
 use crate::batch_rows::read_header;
 use crate::context::NodeContext;
 use crate::events::{self, Event};
-use crate::gateway::known_batch::RETRY_AFTER;
+use crate::gateway::batch_lookup::RETRY_AFTER;
 use crate::gateway::message::{CallerResponse, empty_response};
 use crate::telemetry;
 use http::StatusCode;
@@ -21,7 +21,7 @@
 /// # Errors
 ///
 /// If the table does not tell by the deadline: whether the batch runs is not known then.
-pub(crate) async fn accepted_before(
+pub(crate) async fn find_accepted_batch(
     context: &NodeContext,
     id: &str,
     deadline: BootInstant,
@@ -46,7 +46,7 @@
 }
 
 /// Answers a batch that was accepted before: it is accepted again.
-pub(crate) fn accept_again(
+pub(crate) fn confirm_accepted_batch(
     id: &str,
     header: &BatchHeader,
     received: BootInstant,
--- a/crates/sloetrail-serving/src/node.rs
+++ b/crates/sloetrail-serving/src/node.rs
@@ -114,7 +114,7 @@
         tokio::spawn(quarantine::keep_swept(quarantine, fleet));
         if context.claims.is_some() {
             let (table, fleet) = (Arc::clone(&context.table), context.fleet.clone());
-            tokio::spawn(sweep::keep_swept(table, fleet));
+            tokio::spawn(sweep::run_sweeper(table, fleet));
         }
         let usage = reports.and_then(|(_, recipient)| start_usage(&context, recipient));
         let owners = supervise(Arc::clone(&context), usage, stopping.clone());
@@ -132,7 +132,7 @@
     /// True while callers are connected or what became of their keys is being written.
     fn has_work_left(&self) -> bool {
         let claims = self.context.claims.as_ref();
-        self.callers.connections() > 0 || claims.is_some_and(|claims| claims.open_writes() > 0)
+        self.callers.connections() > 0 || claims.is_some_and(|claims| claims.pending_writes() > 0)
     }
 
     /// Where callers reach the node.
