--- a/crates/sloetrail-serving/src/gateway/batch_call.rs
+++ b/crates/sloetrail-serving/src/gateway/batch_call.rs
@@ -1,5 +1,4 @@
-//! Calls about batches that were submitted before: their results, the bodies of their
-//! items, and their end.
+//! Calls about submitted batches: reading results and item bodies, and ending a batch.
 
 use super::caller::{self, KeyDemand};
 use super::headers;
@@ -14,28 +13,27 @@
 use sloetrail_types::WeightVersion;
 use std::time::Duration;
 
-/// Query parameters.
 const AFTER: &str = "after";
 const ITEM_ID: &str = "id";
 
-/// A call about a batch that was submitted before.
+/// A call about a submitted batch.
 pub(super) enum BatchCall<'a> {
-    /// What is not listed need not be run any more.
+    /// Ends the batch: items without a listed result need not run any more.
     End { id: &'a str },
-    /// The results from a position on, waiting for some if there are none yet.
+    /// Reads results from `position` on, waiting up to `wait` if there are none yet.
     Results {
         id: &'a str,
         position: usize,
         wait: Duration,
-        /// The oldest version that the reader's trainer takes now, as it wrote it.
+        /// The oldest weight version that the trainer accepts, not parsed yet.
         oldest_version: Option<&'a str>,
     },
-    /// The body of an item.
+    /// Reads the submitted body of an item.
     ItemBody { id: &'a str, item: &'a str },
 }
 
 impl<'a> BatchCall<'a> {
-    /// Reads a call's head; nothing if it is about no batch.
+    /// Parses the head of a call. None if its method and path name no batch call.
     pub(super) fn read(context: &NodeContext, head: &'a Parts) -> Option<Self> {
         let path = head.uri.path();
         let query = head.uri.query().unwrap_or_default();
@@ -68,7 +66,7 @@
         None
     }
 
-    /// Answers the call, if its caller may know of the batch.
+    /// Answers the call, provided that the caller may access the batch.
     pub(super) async fn answer(
         self,
         context: &NodeContext,
@@ -96,8 +94,8 @@
     }
 }
 
-/// What a reader takes. A version that cannot be read is refused: without it the reader would
-/// be handed texts that its trainer must not use.
+/// Returns which results the reader accepts. A malformed version is an error: ignoring it would
+/// return texts that the trainer must not use.
 fn reader_demand(
     context: &NodeContext,
     oldest_version: Option<&str>,
@@ -111,7 +109,8 @@
 
 fn parse_version(text: &str) -> Result<WeightVersion, Problem> {
     text.parse().map(WeightVersion).map_err(|error| {
-        let detail = format!("the oldest version {text:?} is no number: {error}");
+        let detail =
+            format!("the oldest version must be a weight version number, got {text:?}: {error}");
         Problem::new(ResultCode::MalformedRequest, detail)
     })
 }
--- a/crates/sloetrail-serving/src/gateway/batch_lookup.rs
+++ b/crates/sloetrail-serving/src/gateway/batch_lookup.rs
@@ -1,4 +1,4 @@
-//! Batches that were accepted, as the table tells of them.
+//! Lookup of accepted batches in the table.
 
 use super::caller::may_know;
 use crate::batch_rows::read_header;
@@ -9,11 +9,16 @@
 use sloetrail_routing::Tenant;
 use std::time::Duration;
 
-/// When to come back after a call that the table refused or did not answer, or to a
-/// node that is cut off alone: another node can take it at once.
+/// Retry delay after a call that the table refused or did not answer, and for callers of an
+/// isolated node. Short, because another node may serve the retry.
 pub(super) const RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// The head of a batch that a caller may know of. To another tenant it does not exist.
+/// Returns the header of a batch that the caller may access.
+///
+/// # Errors
+///
+/// `UnknownBatch` if there is none or it belongs to another tenant, `TableUnavailable` if the
+/// table cannot be read.
 pub(crate) async fn find_header(
     context: &NodeContext,
     id: &str,
@@ -29,7 +34,7 @@
     }
 }
 
-/// The refusal of a call that the table must settle first.
+/// Problem for a call that needs the table while the table does not answer.
 pub(crate) fn table_unavailable() -> Problem {
     Problem::new(ResultCode::TableUnavailable, "the table does not answer")
         .with_retry_after_ms(RETRY_AFTER.as_millis() as u64)
--- a/crates/sloetrail-serving/src/gateway/claims.rs
+++ b/crates/sloetrail-serving/src/gateway/claims.rs
@@ -1,10 +1,12 @@
 //! Claims of idempotency keys, so that a keyed request runs at most once.
 //!
-//! A request that may not repeat and carries a key claims it before its first attempt: with
-//! a row of the table that must be absent. Whoever meets the row answers from it and sends
-//! nothing. The claimant writes the row once more, with the answer, or with the word that
-//! nothing has run; then the key is free again. What a row says about a request is decided
-//! in [`record`], how rows are written stands in [`writes`], how they end in [`sweep`].
+//! A non-repeatable request with a key claims the key before its first attempt, by inserting a
+//! row that must be absent. A call that finds the row is answered from it and sends nothing.
+//! The claimant later updates the row: with the answer, or with the state `Released` if
+//! nothing has run, which makes the key available again.
+//!
+//! [`record`] decides what a row means for a request, [`writes`] writes rows, and [`sweep`]
+//! deletes expired rows.
 
 mod claim;
 mod key;
@@ -15,8 +17,8 @@
 pub(crate) use claim::Claim;
 
 use self::key::IdempotencyKey;
-use self::record::{ClaimRecord, ClaimState, RequestIdentity, Verdict};
-use self::writes::{Claiming, Settled};
+use self::record::{ClaimDecision, ClaimRecord, ClaimState, RequestIdentity};
+use self::writes::{ClaimSettlement, ClaimWrite};
 use super::attempt::Outgoing;
 use super::batch_lookup::RETRY_AFTER;
 use super::headers;
@@ -36,41 +38,39 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// The part of a request's time within which its key must be claimed: under half, so that
-/// as much is left to run it.
-const CLAIM_SHARE: f64 = 0.45;
-/// When to come back while the table does not settle claims: spread over so long, so that
-/// callers do not come back all at once. Outages of the table last seconds.
-const UNAVAILABLE_RETRY_LEAST: Duration = Duration::from_millis(500);
-const UNAVAILABLE_RETRY_SPREAD: Duration = Duration::from_millis(1_500);
-/// When to come back while the request of the key is running: once it is due, within these
-/// bounds.
-const IN_PROGRESS_RETRY_LEAST: Duration = Duration::from_millis(150);
-const IN_PROGRESS_RETRY_MOST: Duration = Duration::from_millis(1_000);
+/// Time limit of a claim as a share of the request's remaining time. Under half, so that enough
+/// time remains to run the request.
+const MAX_CLAIM_TIME_SHARE: f64 = 0.45;
+/// Retry delay while claims cannot be written, plus a jitter that spreads the callers' retries.
+const MIN_UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(500);
+const UNAVAILABLE_RETRY_JITTER: Duration = Duration::from_millis(1_500);
+/// Bounds of the retry delay while the key's request is running. Within them, the delay is the time
+/// until the request is due.
+const MIN_IN_PROGRESS_RETRY_AFTER: Duration = Duration::from_millis(150);
+const MAX_IN_PROGRESS_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
 /// The claims of a node.
 pub(crate) struct Claims {
     table: Arc<dyn Table>,
     claimant: NodeId,
-    /// How long a claim is kept after its request was due.
-    kept: Duration,
-    /// Tells the sendings of this life apart.
+    /// How long a claim is retained after its request was due.
+    retention: Duration,
+    /// Distinguishes the calls of this incarnation of the node.
     next_number: AtomicU64,
-    /// Writes that have no answer yet.
     pending_writes: AtomicUsize,
 }
 
-/// A request that may carry a key.
+/// A request whose headers may carry an idempotency key.
 pub(crate) struct IncomingRequest<'a> {
     pub(crate) route: &'a Route,
     pub(crate) tenant: Option<&'a TenantName>,
-    /// As its caller sent them.
+    /// The headers as received from the caller.
     pub(crate) headers: &'a HeaderMap,
-    /// When its final answer is due.
+    /// Time by which the final answer is due.
     pub(crate) deadline: BootInstant,
 }
 
-/// A key that is to be claimed for a request.
+/// A non-repeatable request with an idempotency key.
 pub(crate) struct KeyedRequest {
     key: IdempotencyKey,
     tenant: Option<TenantName>,
@@ -78,134 +78,130 @@
     deadline: BootInstant,
 }
 
-/// What became of the claim of a key.
+/// Outcome of claiming the key of a request.
 pub(crate) enum KeyClaimOutcome {
-    /// The request runs under no key.
+    /// The request has no key to claim.
     NotNeeded,
-    /// The request may be sent.
+    /// The key is claimed; the request may be sent.
     Acquired(Arc<Claim>),
-    /// It ran before; this is its answer.
+    /// The request ran before; holds its stored answer.
     Answered(WholeAnswer),
 }
 
 impl Claims {
-    /// The claims of the node with these settings.
     pub(crate) fn new(settings: &ServingSettings, table: Arc<dyn Table>) -> Arc<Self> {
         Arc::new(Self {
             table,
             claimant: settings.instance.clone(),
-            kept: settings.bounds.claims_kept,
+            retention: settings.bounds.claims_kept,
             next_number: AtomicU64::new(1),
             pending_writes: AtomicUsize::new(0),
         })
     }
 
-    /// Writes that have no answer yet.
+    /// Number of writes that are scheduled or in flight.
     pub(crate) fn pending_writes(&self) -> usize {
         self.pending_writes.load(Ordering::SeqCst)
     }
 
-    /// Claims the key of a request, or tells what its earlier claim says.
+    /// Claims the key of a request, or returns the outcome of its earlier claim.
     ///
     /// # Errors
     ///
-    /// If the request may not be sent. The problem is `not_run` where this sending is all
-    /// that it speaks of: the table did not settle the claim in time, or the key is that of
-    /// another request.
+    /// If the request may not be sent. The problem's kind is `not_run` if it concerns only this
+    /// call: the claim was not written in time, or the key belongs to another request.
     pub(crate) async fn claim(
         self: &Arc<Self>,
-        sending: KeyedRequest,
+        keyed: KeyedRequest,
         outgoing: &Outgoing,
     ) -> Result<KeyClaimOutcome, Problem> {
-        let outcome = self.claim_in_time(sending, outgoing).await;
-        telemetry::key_claimed(word(&outcome));
+        let outcome = self.claim_before_deadline(keyed, outgoing).await;
+        telemetry::key_claimed(outcome_label(&outcome));
         outcome
     }
 
-    async fn claim_in_time(
+    async fn claim_before_deadline(
         self: &Arc<Self>,
-        sending: KeyedRequest,
+        keyed: KeyedRequest,
         outgoing: &Outgoing,
     ) -> Result<KeyClaimOutcome, Problem> {
-        let now_ms = self.table.now_ms().filter(|_| self.may_be_settled());
+        let now_ms = self.table.now_ms().filter(|_| self.is_table_available());
         let Some(now_ms) = now_ms else {
             return Err(self.unavailable());
         };
-        let left = sending
-            .deadline
-            .saturating_duration_since(BootInstant::now());
-        let give_up_at = BootInstant::now() + left.mul_f64(CLAIM_SHARE);
-        let record = self.record(&sending, outgoing, now_ms, left);
-        let digest = sending.key.digest(sending.tenant.as_ref());
+        let remaining = keyed.deadline.saturating_duration_since(BootInstant::now());
+        let claim_deadline = BootInstant::now() + remaining.mul_f64(MAX_CLAIM_TIME_SHARE);
+        let record = self.record(&keyed, outgoing, now_ms, remaining);
+        let digest = keyed.key.digest(keyed.tenant.as_ref());
         let address = rows::claim(digest);
         let (request, claims) = (outgoing.request_id.clone(), Arc::clone(self));
-        let claiming = Claiming::new(claims, request, address, record);
-        // It goes on without its caller: a claim that may have been written must not stay.
+        let claim_write = ClaimWrite::new(claims, request, address, record);
+        // Runs detached from the caller, so that an abandoned claim is still released.
         let (sender, receiver) = oneshot::channel();
-        tokio::spawn(claiming.run(give_up_at, sender));
-        match sloetrail_clock::timeout_at(give_up_at, receiver).await {
-            Ok(Ok(Settled::Held(claim))) => Ok(KeyClaimOutcome::Acquired(claim)),
-            Ok(Ok(Settled::Met(verdict))) => answer_of(verdict),
+        tokio::spawn(claim_write.run(claim_deadline, sender));
+        match sloetrail_clock::timeout_at(claim_deadline, receiver).await {
+            Ok(Ok(ClaimSettlement::Acquired(claim))) => Ok(KeyClaimOutcome::Acquired(claim)),
+            Ok(Ok(ClaimSettlement::Existing(decision))) => outcome_of(decision),
             Ok(Err(_)) | Err(_) => Err(self.unavailable()),
         }
     }
 
-    /// False if a write of a claim would be in vain.
-    fn may_be_settled(&self) -> bool {
+    /// False if writes are known to fail at present.
+    fn is_table_available(&self) -> bool {
         self.table.is_answering() && !self.table.is_isolated()
     }
 
-    /// The refusal of a sending whose claim was not settled. If the table may well answer
-    /// others, another node can take it at once.
+    /// Problem for a call whose claim was not written. The retry delay is short if only this node
+    /// is isolated, since another node may serve the retry.
     fn unavailable(&self) -> Problem {
-        let spread = UNAVAILABLE_RETRY_SPREAD.mul_f64(rand::random());
+        let jitter = UNAVAILABLE_RETRY_JITTER.mul_f64(rand::random());
         unavailable(match self.table.is_isolated() {
             true => RETRY_AFTER,
-            false => UNAVAILABLE_RETRY_LEAST + spread,
+            false => MIN_UNAVAILABLE_RETRY_AFTER + jitter,
         })
     }
 
     fn record(
         &self,
-        sending: &KeyedRequest,
+        keyed: &KeyedRequest,
         outgoing: &Outgoing,
         now_ms: u64,
-        left: Duration,
+        remaining: Duration,
     ) -> ClaimRecord {
-        let due_ms = now_ms + left.as_millis() as u64;
+        let due_ms = now_ms + remaining.as_millis() as u64;
         ClaimRecord {
             claimant: self.claimant.clone(),
             number: self.next_number.fetch_add(1, Ordering::Relaxed),
-            request: identity(sending, outgoing),
+            request: request_identity(keyed, outgoing),
             due_ms,
-            delete_at_ms: due_ms + self.kept.as_millis() as u64,
+            delete_at_ms: due_ms + self.retention.as_millis() as u64,
             state: ClaimState::Running,
         }
     }
 }
 
 impl KeyedRequest {
-    /// The key of a request that runs under one; nothing if it carries none, or may repeat.
+    /// Reads the key of a request. None if the request carries no key or may repeat.
     ///
     /// # Errors
     ///
-    /// If what it carries is no key.
+    /// If the header is not a valid key.
     pub(crate) fn read(
-        sending: IncomingRequest<'_>,
+        request: IncomingRequest<'_>,
         names: &HeaderNames,
     ) -> Result<Option<Self>, Problem> {
         let Some(name) = &names.idempotency_key else {
             return Ok(None);
         };
-        if may_repeat(sending.route) {
+        if may_repeat(request.route) {
             return Ok(None);
         }
-        let key = IdempotencyKey::read(sending.headers, name)?;
+        let key = IdempotencyKey::read(request.headers, name)?;
         Ok(key.map(|key| Self {
             key,
-            tenant: sending.tenant.cloned(),
-            host: headers::host(sending.headers).to_ascii_lowercase(),
-            deadline: sending.deadline,
+            tenant: request.tenant.cloned(),
+            host: headers::host(request.headers).to_ascii_lowercase(),
+            deadline: request.deadline,
         }))
     }
 }
@@ -218,53 +214,54 @@
     }
 }
 
-fn identity(sending: &KeyedRequest, outgoing: &Outgoing) -> RequestIdentity {
+fn request_identity(keyed: &KeyedRequest, outgoing: &Outgoing) -> RequestIdentity {
     let parts = [
         outgoing.method.as_str().as_bytes(),
         outgoing.path_and_query.as_bytes(),
         &outgoing.body,
     ];
     RequestIdentity {
-        tenant: sending.tenant.clone(),
-        host: sending.host.clone(),
+        tenant: keyed.tenant.clone(),
+        host: keyed.host.clone(),
         digest: digest_of_parts(&parts),
     }
 }
 
-/// What a request is answered whose key was claimed before.
-fn answer_of(verdict: Verdict) -> Result<KeyClaimOutcome, Problem> {
-    match verdict {
-        Verdict::Answered(answer) => match answer.restore() {
+/// Outcome for a request whose key was claimed before.
+fn outcome_of(decision: ClaimDecision) -> Result<KeyClaimOutcome, Problem> {
+    match decision {
+        ClaimDecision::Answered(answer) => match answer.restore() {
             Some(answer) => Ok(KeyClaimOutcome::Answered(answer)),
-            None => answer_of(Verdict::OutcomeUnknown),
+            None => outcome_of(ClaimDecision::OutcomeUnknown),
         },
-        Verdict::OtherRequest => {
-            let detail = "the key was sent with another request before";
+        ClaimDecision::RequestMismatch => {
+            let detail = "the key was used with a different request before";
             Err(Problem::new(ResultCode::KeyReused, detail))
         }
-        Verdict::InProgress { left } => {
-            let detail = "the request of the key is running";
-            let retry_after = left.clamp(IN_PROGRESS_RETRY_LEAST, IN_PROGRESS_RETRY_MOST);
+        ClaimDecision::InProgress { remaining } => {
+            let detail = "the request with this key is still running";
+            let retry_after =
+                remaining.clamp(MIN_IN_PROGRESS_RETRY_AFTER, MAX_IN_PROGRESS_RETRY_AFTER);
             let problem = Problem::new(ResultCode::KeyInProgress, detail);
             Err(problem.with_retry_after_ms(retry_after.as_millis() as u64))
         }
-        Verdict::OutcomeUnknown => {
-            let detail = "the request of the key may have run; its answer is not kept";
+        ClaimDecision::OutcomeUnknown => {
+            let detail = "the request with this key may have run, but its answer is not stored";
             Err(Problem::new(ResultCode::KeyInProgress, detail))
         }
-        // Claiming goes on with these; it ends with neither.
-        Verdict::Own | Verdict::Free => Err(unavailable(RETRY_AFTER)),
+        // `ClaimWrite` continues on both, so neither is returned as its settlement.
+        ClaimDecision::OwnClaim | ClaimDecision::Available => Err(unavailable(RETRY_AFTER)),
     }
 }
 
 fn unavailable(retry_after: Duration) -> Problem {
-    let detail = "the table did not settle the claim of the key; this sending was not run";
+    let detail = "the table did not confirm the claim of the key in time; this call was not run";
     Problem::new(ResultCode::TableUnavailable, detail)
         .with_retry_after_ms(retry_after.as_millis() as u64)
 }
 
-/// The outcome of a claim, for metrics.
-fn word(outcome: &Result<KeyClaimOutcome, Problem>) -> &'static str {
+/// Label of a claim's outcome in metrics.
+fn outcome_label(outcome: &Result<KeyClaimOutcome, Problem>) -> &'static str {
     match outcome {
         Ok(KeyClaimOutcome::NotNeeded) => "not_needed",
         Ok(KeyClaimOutcome::Acquired(_)) => "claimed",
--- a/crates/sloetrail-serving/src/gateway/claims/claim.rs
+++ b/crates/sloetrail-serving/src/gateway/claims/claim.rs
@@ -1,8 +1,8 @@
-//! A key that this node has claimed, until it is known what became of its request.
+//! A key that this node has claimed, until the outcome of its request is known.
 
 use super::Claims;
 use super::record::{ClaimRecord, ClaimState, StoredAnswer};
-use super::writes::{Base, Ending};
+use super::writes::{BaseVersion, OutcomeWrite};
 use crate::events::{self, Event};
 use crate::http::WholeAnswer;
 use crate::table::RowAddress;
@@ -12,17 +12,17 @@
 
 /// A key that this node has claimed for a request.
 ///
-/// Dropped while nothing that was sent can have run, it frees the key: the caller has left.
-/// Dropped otherwise it leaves the claim as it is, since the request may have run.
+/// Dropping it without [`Claim::end`], as when the caller disconnects, releases the key if no
+/// attempt can have run. Otherwise the claim stays, since the request may have run.
 pub(crate) struct Claim {
     claims: Arc<Claims>,
     request: String,
     address: RowAddress,
     record: ClaimRecord,
-    base: Base,
-    /// Sendings to back ends that are not proved not to have run.
+    base: BaseVersion,
+    /// Number of attempts at back ends that may have run.
     possible_runs: AtomicUsize,
-    /// True once it is known what became of the request.
+    /// True once the request has its final answer.
     has_ended: AtomicBool,
 }
 
@@ -32,7 +32,7 @@
         request: String,
         address: RowAddress,
         record: ClaimRecord,
-        base: Base,
+        base: BaseVersion,
     ) -> Self {
         Self {
             claims,
@@ -45,51 +45,54 @@
         }
     }
 
-    /// The request is being sent to a back end.
+    /// Records that an attempt is being sent to a back end.
     pub(crate) fn record_send(&self) {
         self.possible_runs.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// A sending that was noted is proved not to have run.
+    /// Records proof that a recorded attempt has not run.
     pub(crate) fn record_not_run(&self) {
         self.possible_runs.fetch_sub(1, Ordering::SeqCst);
     }
 
-    /// The request has its final answer: a back end's, or the node's own.
+    /// Ends the claim with the final answer to the request: a back end's, or the node's own.
     pub(crate) fn end(&self, answer: Result<&WholeAnswer, &Problem>) {
         self.has_ended.store(true, Ordering::SeqCst);
         match answer {
-            Ok(answer) => self.answered(answer),
-            Err(problem) => self.failed(problem),
+            Ok(answer) => self.store_answer(answer),
+            Err(problem) => self.release_if_not_run(problem),
         }
     }
 
-    /// Keeps a back end's answer, which repeats get.
-    fn answered(&self, answer: &WholeAnswer) {
+    /// Stores a back end's answer for repeats of the request.
+    fn store_answer(&self, answer: &WholeAnswer) {
         let state = ClaimState::Answered(StoredAnswer::of(answer));
-        let ending = self.ending(state);
-        let (bytes, limit) = (ending.row_bytes(), self.claims.table.limits().row_bytes);
+        let outcome_write = self.outcome_write(state);
+        let (bytes, limit) = (
+            outcome_write.row_bytes(),
+            self.claims.table.limits().row_bytes,
+        );
         if bytes > limit {
             events::emit(&Event::ClaimLeft {
                 request: &self.request,
                 state: "answered",
-                cause: "the answer is over the bound of a row",
+                cause: "the answer exceeds the size limit of a row",
             });
             return;
         }
-        tokio::spawn(ending.run());
+        tokio::spawn(outcome_write.run());
     }
 
-    /// The node itself answers the request. If that proves that nothing ran, the key is free
-    /// again; otherwise repeats are told that the outcome is not known.
-    fn failed(&self, problem: &Problem) {
+    /// Releases the key if the problem proves that nothing ran. Otherwise repeats are answered
+    /// that the outcome is unknown.
+    fn release_if_not_run(&self, problem: &Problem) {
         if problem.kind == Kind::NotRun {
-            tokio::spawn(self.ending(ClaimState::Released).run());
+            tokio::spawn(self.outcome_write(ClaimState::Released).run());
         }
     }
 
-    fn ending(&self, state: ClaimState) -> Ending {
-        Ending::new(
+    fn outcome_write(&self, state: ClaimState) -> OutcomeWrite {
+        OutcomeWrite::new(
             Arc::clone(&self.claims),
             self.request.clone(),
             self.address.clone(),
@@ -104,9 +107,9 @@
         if *self.has_ended.get_mut() || *self.possible_runs.get_mut() > 0 {
             return;
         }
-        // Without a runtime the node is ending, and leaves the claim as a killed one does.
+        // Without a runtime the process is exiting; the claim stays as after a crash.
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
-            runtime.spawn(self.ending(ClaimState::Released).run());
+            runtime.spawn(self.outcome_write(ClaimState::Released).run());
         }
     }
 }
--- a/crates/sloetrail-serving/src/gateway/claims/claim/tests.rs
+++ b/crates/sloetrail-serving/src/gateway/claims/claim/tests.rs
@@ -1,8 +1,8 @@
-//! What a claim does as it ends, before any of its writes has run.
+//! Pending writes of a claim when it ends, before any of its writes has run.
 
 use super::super::Claims;
 use super::super::record::{ClaimRecord, ClaimState, RequestIdentity};
-use super::super::writes::Base;
+use super::super::writes::BaseVersion;
 use super::Claim;
 use crate::http::WholeAnswer;
 use crate::rows;
@@ -17,11 +17,11 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize};
 use std::time::Duration;
 
-/// A table that answers nothing.
-struct SilentTable;
+/// A table that never answers.
+struct UnresponsiveTable;
 
 #[async_trait]
-impl Table for SilentTable {
+impl Table for UnresponsiveTable {
     fn limits(&self) -> TableLimits {
         TableLimits {
             row_bytes: 4_096,
@@ -49,9 +49,9 @@
 
 fn claims() -> Arc<Claims> {
     Arc::new(Claims {
-        table: Arc::new(SilentTable),
+        table: Arc::new(UnresponsiveTable),
         claimant: NodeId::from("node-1"),
-        kept: Duration::from_secs(60),
+        retention: Duration::from_secs(60),
         next_number: AtomicU64::new(1),
         pending_writes: AtomicUsize::new(0),
     })
@@ -70,7 +70,7 @@
         delete_at_ms: 62_000,
         state: ClaimState::Running,
     };
-    let base = Base {
+    let base = BaseVersion {
         version: RowVersion(1),
         delete_at_ms: record.delete_at_ms,
     };
@@ -87,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn a_node_that_stops_sees_the_write_of_an_answer_from_the_moment_of_its_end() {
+async fn ending_a_claim_registers_its_write_at_once() {
     let claims = claims();
     let claim = claim(&claims);
     claim.record_send();
@@ -96,14 +96,14 @@
 }
 
 #[tokio::test]
-async fn a_node_that_stops_sees_that_a_key_is_given_back_from_the_moment_of_its_drop() {
+async fn dropping_a_claim_registers_its_release_at_once() {
     let claims = claims();
     drop(claim(&claims));
     assert_eq!(claims.pending_writes(), 1);
 }
 
 #[tokio::test]
-async fn an_answer_that_is_not_kept_is_no_write() {
+async fn an_oversized_answer_is_not_written() {
     let claims = claims();
     let too_large = WholeAnswer {
         body: Bytes::from(vec![0; 5_000]),
@@ -117,7 +117,7 @@
 }
 
 #[tokio::test]
-async fn a_key_is_given_back_if_all_that_was_sent_is_proved_not_to_have_run() {
+async fn a_key_is_released_if_no_attempt_has_run() {
     let claims = claims();
     let claim = claim(&claims);
     claim.record_send();
@@ -129,7 +129,7 @@
 }
 
 #[tokio::test]
-async fn a_key_stays_claimed_if_one_sending_may_have_run() {
+async fn a_key_stays_claimed_if_one_attempt_may_have_run() {
     let claims = claims();
     let claim = claim(&claims);
     claim.record_send();
--- a/crates/sloetrail-serving/src/gateway/claims/key/tests.rs
+++ b/crates/sloetrail-serving/src/gateway/claims/key/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn what_is_no_key_is_refused_and_never_taken_for_none() {
+fn an_invalid_key_is_refused_and_not_ignored() {
     assert!(is_refused(&[b""]));
     assert!(is_refused(&[b"two words"]));
     assert!(is_refused(&["k\u{e4}".as_bytes()]));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn keys_and_tenants_are_told_apart() {
+fn digests_differ_by_key_and_tenant() {
     let digests = [
         digest("k", None),
         digest("k", Some("a")),
--- a/crates/sloetrail-serving/src/gateway/claims/record.rs
+++ b/crates/sloetrail-serving/src/gateway/claims/record.rs
@@ -1,4 +1,4 @@
-//! What the row of a claim holds, and what it says about a request.
+//! The stored form of a claim, and the decision that follows from it for a request.
 
 use crate::gateway::headers;
 use crate::http::WholeAnswer;
@@ -11,44 +11,41 @@
 /// The row of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct ClaimRecord {
-    /// The life of the node that wrote it.
+    /// The incarnation of the node that wrote the claim.
     pub(super) claimant: NodeId,
-    /// Which sending of that life it is for.
+    /// Number of the call within that incarnation.
     pub(super) number: u64,
-    /// The request.
     pub(super) request: RequestIdentity,
-    /// When the request's final answer is due, by the table's clock.
+    /// Time by which the request's final answer is due, by the table's clock.
     pub(super) due_ms: u64,
-    /// When the row may be deleted, by the same clock.
+    /// Time from which the row may be deleted, by the table's clock.
     pub(super) delete_at_ms: u64,
-    /// What became of it.
     pub(super) state: ClaimState,
 }
 
-/// What tells one request from another under the same key.
+/// Distinguishes requests that use the same key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct RequestIdentity {
-    /// Whose it is.
     pub(super) tenant: Option<TenantName>,
-    /// The host that it was sent to. The name of its route is not asked for: the operator may
-    /// change it while callers send again what has run.
+    /// The requested host. The route's name is not part of the identity: a repeat must match after
+    /// the operator renames the route.
     pub(super) host: String,
-    /// A digest of its method, path and body.
+    /// Digest of method, path with query, and body.
     pub(super) digest: u128,
 }
 
-/// What became of a claim.
+/// State of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum ClaimState {
-    /// The request may be running, or may have run without anybody knowing how it ended.
+    /// The request may be running, or may have run with an unknown outcome.
     Running,
-    /// It ran; its answer.
+    /// The request ran; holds its answer.
     Answered(StoredAnswer),
-    /// Proved: it has not run, and this claimant sends it no more.
+    /// The request has not run, and the claimant will not send it again.
     Released,
 }
 
-/// A back end's answer as it is kept.
+/// A back end's answer as stored in a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct StoredAnswer {
     status: u16,
@@ -56,51 +53,50 @@
     body: Bytes,
 }
 
-/// What the row of a claim says about a request that meets it.
+/// Consequence of an existing claim for a request with the same key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Verdict {
-    /// It is the claim of this very sending: the answer of the table was lost.
-    Own,
-    /// The request has not run; its key may be claimed again.
-    Free,
-    /// The request ran; its answer.
+pub(super) enum ClaimDecision {
+    /// This call wrote the claim itself; the table's answer to the write was lost.
+    OwnClaim,
+    /// The earlier request has not run; the key may be claimed again.
+    Available,
+    /// The request ran; holds its answer.
     Answered(StoredAnswer),
-    /// The key is that of another request.
-    OtherRequest,
-    /// The request may be running; its answer is due in this time.
+    /// The key belongs to a different request.
+    RequestMismatch,
+    /// The request may be running.
     InProgress {
-        /// The time until then.
-        left: Duration,
+        /// Time until its answer is due.
+        remaining: Duration,
     },
-    /// The request may have run, and nobody will tell how it ended.
+    /// The request may have run; its outcome is unknown and stays so.
     OutcomeUnknown,
 }
 
 impl ClaimRecord {
-    /// What this row says about the request that `asking` is to claim the key for.
-    pub(super) fn judge(&self, asking: &ClaimRecord, now_ms: u64) -> Verdict {
-        if self.is_of_same_sending(asking) {
-            return Verdict::Own;
+    /// Decides what this row means for `candidate`, a claim of the same key.
+    pub(super) fn decide(&self, candidate: &ClaimRecord, now_ms: u64) -> ClaimDecision {
+        if self.is_same_call(candidate) {
+            return ClaimDecision::OwnClaim;
         }
-        if self.request != asking.request {
-            return Verdict::OtherRequest;
+        if self.request != candidate.request {
+            return ClaimDecision::RequestMismatch;
         }
         match &self.state {
-            ClaimState::Released => Verdict::Free,
-            ClaimState::Answered(answer) => Verdict::Answered(answer.clone()),
-            ClaimState::Running if now_ms < self.due_ms => Verdict::InProgress {
-                left: Duration::from_millis(self.due_ms - now_ms),
+            ClaimState::Released => ClaimDecision::Available,
+            ClaimState::Answered(answer) => ClaimDecision::Answered(answer.clone()),
+            ClaimState::Running if now_ms < self.due_ms => ClaimDecision::InProgress {
+                remaining: Duration::from_millis(self.due_ms - now_ms),
             },
-            ClaimState::Running => Verdict::OutcomeUnknown,
+            ClaimState::Running => ClaimDecision::OutcomeUnknown,
         }
     }
 
-    /// True if both were written for the same sending of the same life.
-    pub(super) fn is_of_same_sending(&self, other: &ClaimRecord) -> bool {
+    /// True if both were written for the same call at the same incarnation of a node.
+    pub(super) fn is_same_call(&self, other: &ClaimRecord) -> bool {
         self.claimant == other.claimant && self.number == other.number
     }
 
-    /// The same claim in another state.
     pub(super) fn in_state(&self, state: ClaimState) -> Self {
         Self {
             state,
@@ -108,35 +104,34 @@
         }
     }
 
-    /// The stored form.
     pub(super) fn encode(&self) -> Bytes {
         let mut encoded = Vec::new();
-        ciborium::into_writer(self, &mut encoded).expect("memory takes every write");
+        ciborium::into_writer(self, &mut encoded).expect("writing to memory does not fail");
         Bytes::from(encoded)
     }
 
-    /// Reads the stored form; nothing if it cannot be read.
+    /// Decodes the stored form. None if it is malformed.
     pub(super) fn decode(stored: &[u8]) -> Option<Self> {
         ciborium::from_reader(stored).ok()
     }
 }
 
 impl StoredAnswer {
-    /// An answer as it is kept: without what belongs to one connection.
+    /// Copies an answer without its hop-by-hop headers.
     pub(super) fn of(answer: &WholeAnswer) -> Self {
-        let kept = headers::end_to_end(&answer.headers);
-        let kept = kept.iter().map(|(name, value)| {
+        let stored_headers = headers::end_to_end(&answer.headers);
+        let stored_headers = stored_headers.iter().map(|(name, value)| {
             let value = Bytes::copy_from_slice(value.as_bytes());
             (name.as_str().to_owned(), value)
         });
         Self {
             status: answer.status.as_u16(),
-            headers: kept.collect(),
+            headers: stored_headers.collect(),
             body: answer.body.clone(),
         }
     }
 
-    /// The answer as it was; nothing if the row holds none that could have been.
+    /// Restores the answer. None if the row holds an invalid status or header.
     pub(crate) fn restore(self) -> Option<WholeAnswer> {
         let mut headers = HeaderMap::new();
         for (name, value) in self.headers {
--- a/crates/sloetrail-serving/src/gateway/claims/record/tests.rs
+++ b/crates/sloetrail-serving/src/gateway/claims/record/tests.rs
@@ -1,4 +1,4 @@
-use super::{ClaimRecord, ClaimState, RequestIdentity, StoredAnswer, Verdict};
+use super::{ClaimDecision, ClaimRecord, ClaimState, RequestIdentity, StoredAnswer};
 use crate::http::WholeAnswer;
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, StatusCode};
@@ -22,7 +22,7 @@
     }
 }
 
-fn asking() -> ClaimRecord {
+fn candidate() -> ClaimRecord {
     record("node-2/1", 1, ClaimState::Running)
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-fn every_state() -> [ClaimState; 3] {
+fn all_states() -> [ClaimState; 3] {
     [
         ClaimState::Running,
         ClaimState::Released,
@@ -48,60 +48,69 @@
 }
 
 #[test]
-fn a_row_of_the_same_sending_is_its_own() {
-    for state in every_state() {
+fn a_row_of_the_same_call_is_its_own_claim() {
+    for state in all_states() {
         let row = record("node-2/1", 1, state);
-        assert_eq!(row.judge(&asking(), NOW_MS), Verdict::Own);
+        assert_eq!(row.decide(&candidate(), NOW_MS), ClaimDecision::OwnClaim);
     }
 }
 
 #[test]
-fn another_sending_or_life_of_the_same_node_is_not_the_same() {
+fn another_call_or_incarnation_is_a_different_claim() {
     for (claimant, number) in [("node-2/1", 2), ("node-2/2", 1), ("node-1/1", 1)] {
         let row = record(claimant, number, ClaimState::Running);
-        let left = Duration::from_millis(300);
+        let remaining = Duration::from_millis(300);
         assert_eq!(
-            row.judge(&asking(), NOW_MS),
-            Verdict::InProgress { left },
+            row.decide(&candidate(), NOW_MS),
+            ClaimDecision::InProgress { remaining },
             "{claimant} {number}"
         );
     }
 }
 
 #[test]
-fn a_claim_whose_answer_is_overdue_never_becomes_free() {
+fn an_overdue_claim_never_becomes_available() {
     let row = record("node-1/1", 1, ClaimState::Running);
     for now_ms in [row.due_ms, row.due_ms + 1, row.delete_at_ms, u64::MAX] {
-        assert_eq!(row.judge(&asking(), now_ms), Verdict::OutcomeUnknown);
+        assert_eq!(
+            row.decide(&candidate(), now_ms),
+            ClaimDecision::OutcomeUnknown
+        );
     }
 }
 
 #[test]
-fn a_released_claim_is_free_and_an_answered_one_gives_its_answer() {
+fn released_claims_are_available_and_answered_claims_replay() {
     let released = record("node-1/1", 1, ClaimState::Released);
-    assert_eq!(released.judge(&asking(), NOW_MS), Verdict::Free);
+    assert_eq!(
+        released.decide(&candidate(), NOW_MS),
+        ClaimDecision::Available
+    );
     let stored = StoredAnswer::of(&answer());
     let answered = record("node-1/1", 1, ClaimState::Answered(stored.clone()));
-    assert_eq!(answered.judge(&asking(), NOW_MS), Verdict::Answered(stored));
+    assert_eq!(
+        answered.decide(&candidate(), NOW_MS),
+        ClaimDecision::Answered(stored)
+    );
 }
 
 #[test]
-fn another_request_gets_nothing_of_the_claim_whatever_its_state() {
-    let mut others = [asking(), asking(), asking()];
+fn another_request_is_a_mismatch_in_every_state() {
+    let mut others = [candidate(), candidate(), candidate()];
     others[0].request.digest = 1;
     others[1].request.host = "other.example".to_owned();
     others[2].request.tenant = Some(TenantName::from("a"));
-    for state in every_state() {
+    for state in all_states() {
         for other in &others {
             let row = record("node-1/1", 1, state.clone());
-            assert_eq!(row.judge(other, NOW_MS), Verdict::OtherRequest);
+            assert_eq!(row.decide(other, NOW_MS), ClaimDecision::RequestMismatch);
         }
     }
 }
 
 #[test]
-fn rows_come_back_as_they_were() {
-    for state in every_state() {
+fn records_survive_encoding_and_decoding() {
+    for state in all_states() {
         let row = record("node-1/1", 1, state);
         assert_eq!(ClaimRecord::decode(&row.encode()), Some(row));
     }
@@ -109,7 +118,7 @@
 }
 
 #[test]
-fn an_answer_is_kept_without_what_belongs_to_its_connection() {
+fn a_stored_answer_omits_hop_by_hop_headers() {
     let restored = StoredAnswer::of(&answer()).restore().expect("an answer");
     let mut expected = answer();
     expected.headers.remove("connection");
--- a/crates/sloetrail-serving/src/gateway/claims/sweep.rs
+++ b/crates/sloetrail-serving/src/gateway/claims/sweep.rs
@@ -1,7 +1,7 @@
-//! Deleting claims that are past their time.
+//! Deletion of expired claims.
 //!
-//! Nodes read when claims may be deleted, and not the claims: these hold what back ends
-//! answered, which stays in the regions where it may be.
+//! The sweep reads only the rows with the expiry times. It doesn't read claims, because they hold
+//! answers of back ends that must not leave their regions.
 
 use crate::events::{self, Event};
 use crate::follow::{FleetSize, Pacing};
@@ -10,22 +10,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Between two sweeps of a node. Nobody waits for them; with each back end, which stands for
-/// the size of the fleet, a node sweeps less often, so that the table is asked by all
-/// together a few times a second.
-const PERIOD_LEAST: Duration = Duration::from_secs(5);
-const PERIOD_PER_BACK_END: Duration = Duration::from_millis(350);
-const PERIOD_MOST: Duration = Duration::from_secs(300);
-/// Entries that the deletion of a claim takes: its two rows and the condition.
-const ENTRIES_A_CLAIM: usize = 3;
+/// Interval between sweeps of a node. Grows with the number of back ends, a measure of the fleet's
+/// size, to limit the load of all nodes on the table.
+const MIN_SWEEP_INTERVAL: Duration = Duration::from_secs(5);
+const SWEEP_INTERVAL_PER_BACK_END: Duration = Duration::from_millis(350);
+const MAX_SWEEP_INTERVAL: Duration = Duration::from_secs(300);
+/// Transaction entries per deleted claim: two rows and a condition.
+const ENTRIES_PER_CLAIM: usize = 3;
 
-/// Deletes claims that are past their time, now and then, for ever.
+/// Deletes expired claims at intervals. Never returns.
 pub(crate) async fn run_sweeper(table: Arc<dyn Table>, fleet: FleetSize) {
-    let period = Pacing::growing(&fleet, PERIOD_LEAST, PERIOD_PER_BACK_END, PERIOD_MOST);
+    let interval = Pacing::growing(
+        &fleet,
+        MIN_SWEEP_INTERVAL,
+        SWEEP_INTERVAL_PER_BACK_END,
+        MAX_SWEEP_INTERVAL,
+    );
     loop {
-        // Nodes that started together do not sweep together.
+        // Jitter, so that nodes that started together do not sweep at the same time.
         let share = 0.5 + 0.5 * rand::random::<f64>();
-        tokio::time::sleep(period.now().mul_f64(share)).await;
+        tokio::time::sleep(interval.now().mul_f64(share)).await;
         let deleted = sweep(&*table).await;
         if deleted > 0 {
             events::emit(&Event::ClaimsDeleted { claims: deleted });
@@ -33,7 +37,7 @@
     }
 }
 
-/// Deletes what is past its time; what the table does not settle is left to the next sweep.
+/// Deletes expired claims and returns their number. Failed deletions are left to the next sweep.
 async fn sweep(table: &dyn Table) -> usize {
     let mut deleted = 0;
     for partition in 0..rows::CLAIM_PARTITIONS {
@@ -45,11 +49,11 @@
 async fn sweep_partition(table: &dyn Table, partition: u8) -> Option<usize> {
     let now_ms = table.now_ms().filter(|_| table.is_answering())?;
     let range = rows::claim_times_until(partition, now_ms);
-    // One page: the rest is for the next sweep, or for another node.
+    // Reads one page only; later sweeps or other nodes delete the rest.
     let page = table.scan(&range).await.ok()?;
-    let at_a_time = table.limits().transaction_entries / ENTRIES_A_CLAIM;
+    let claims_per_transaction = table.limits().transaction_entries / ENTRIES_PER_CLAIM;
     let mut deleted = 0;
-    for times in page.rows.chunks(at_a_time.max(1)) {
+    for times in page.rows.chunks(claims_per_transaction.max(1)) {
         let commit = table.commit(&deletion(times)).await;
         if !matches!(commit, Ok(Commit::Done(_))) {
             break;
@@ -59,8 +63,8 @@
     Some(deleted)
 }
 
-/// Deletes claims with their times, if these are as they were read: a key that was claimed
-/// anew meanwhile has another time.
+/// Builds the deletion of claims and their expiry rows, on condition that the expiry rows are
+/// unchanged. A key that was claimed again since has a different expiry row.
 fn deletion(times: &[Row]) -> Transaction {
     let mut transaction = Transaction::new();
     for time in times {
--- a/crates/sloetrail-serving/src/gateway/claims/sweep/tests.rs
+++ b/crates/sloetrail-serving/src/gateway/claims/sweep/tests.rs
@@ -5,7 +5,7 @@
 use sloetrail_types::RowVersion;
 
 #[test]
-fn a_claim_is_deleted_only_while_its_time_is_as_it_was_read() {
+fn claims_are_deleted_only_if_expiry_is_unchanged() {
     let claim = rows::claim(0xabc);
     let time = Row {
         address: rows::claim_time(&claim, 1_000),
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn times_sort_as_they_follow_one_another() {
+fn expiry_rows_sort_by_time() {
     let claim = rows::claim(0xabc);
     let partition = 0xabc_u128 % u128::from(rows::CLAIM_PARTITIONS);
     let range = rows::claim_times_until(partition as u8, 1_000);
--- a/crates/sloetrail-serving/src/gateway/claims/writes.rs
+++ b/crates/sloetrail-serving/src/gateway/claims/writes.rs
@@ -1,13 +1,14 @@
-//! How claims are written: until the table has judged, whatever answers are lost.
+//! Writes of claims, retried until the table confirms or rejects them.
 //!
-//! Each transaction holds the version of the row that it replaces, and each row names the
-//! sending that it is for. So a transaction that takes effect after its answer was given up
-//! is met again, or changes nothing. A claim is not deleted when it is given back: an
-//! earlier transaction that is still under way would find the row absent and write it anew.
+//! Each transaction is conditional on the version of the row that it replaces, and each row
+//! names the call that wrote it. A transaction that takes effect after its answer timed out is
+//! therefore recognized by the next attempt, or changes nothing. A released claim is not
+//! deleted: an earlier transaction still in flight would find the row absent and insert it
+//! again.
 
 use super::Claims;
 use super::claim::Claim;
-use super::record::{ClaimRecord, ClaimState, Verdict};
+use super::record::{ClaimDecision, ClaimRecord, ClaimState};
 use crate::events::{self, Event};
 use crate::rows;
 use crate::table::{Commit, CommitError, Row, RowAddress, Transaction};
@@ -18,69 +19,69 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Between two tries at a claim, as between two at a batch.
-const CLAIM_PAUSE: Duration = Duration::from_millis(25);
-/// Between two tries at what nobody waits for.
-const ENDING_PAUSE: Duration = Duration::from_millis(250);
-/// How long an ending is tried for: outages of the table last up to two minutes.
-const ENDING_TIME: Duration = Duration::from_secs(120);
+/// Delay between attempts to write a claim.
+const CLAIM_RETRY_INTERVAL: Duration = Duration::from_millis(25);
+/// Delay between attempts to write an outcome. No caller waits for this write.
+const OUTCOME_RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// Time limit for writing an outcome. Covers the longest expected outage of the table.
+const OUTCOME_WRITE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// The row that a write replaces.
+/// Version and expiry of the row that a write replaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Base {
+pub(super) struct BaseVersion {
     pub(super) version: RowVersion,
     pub(super) delete_at_ms: u64,
 }
 
-/// How a claim was settled.
-pub(super) enum Settled {
-    /// The key is claimed for this sending.
-    Held(Arc<Claim>),
+/// Result of an attempt to claim a key.
+pub(super) enum ClaimSettlement {
+    /// The key is claimed for this call.
+    Acquired(Arc<Claim>),
     /// The key was claimed before.
-    Met(Verdict),
+    Existing(ClaimDecision),
 }
 
-/// The attempts at claiming a key.
-pub(super) struct Claiming {
+/// Claims a key, with retries.
+pub(super) struct ClaimWrite {
     claims: Arc<Claims>,
     request: String,
     address: RowAddress,
     record: ClaimRecord,
-    base: Option<Base>,
-    /// A transaction got no answer: it may still take effect.
+    base: Option<BaseVersion>,
+    /// True if a transaction got no answer and may still take effect.
     is_outcome_unknown: bool,
-    _open: OpenWrite,
+    _pending: PendingWriteGuard,
 }
 
-/// The attempts at writing what became of a claim.
-pub(super) struct Ending {
+/// Writes the outcome of a claim, with retries.
+pub(super) struct OutcomeWrite {
     claims: Arc<Claims>,
     request: String,
     address: RowAddress,
     record: ClaimRecord,
-    base: Option<Base>,
-    _open: OpenWrite,
+    base: Option<BaseVersion>,
+    _pending: PendingWriteGuard,
 }
 
-/// Counts a write as open until it is dropped, also before it first runs: a node that stops
-/// waits for it.
-struct OpenWrite(Arc<Claims>);
+/// Counts a write as pending until dropped, also before its task first runs. A stopping node waits
+/// for pending writes.
+struct PendingWriteGuard(Arc<Claims>);
 
-impl OpenWrite {
-    fn begin(claims: &Arc<Claims>) -> Self {
+impl PendingWriteGuard {
+    fn new(claims: &Arc<Claims>) -> Self {
         claims.pending_writes.fetch_add(1, Ordering::SeqCst);
         Self(Arc::clone(claims))
     }
 }
 
-impl Drop for OpenWrite {
+impl Drop for PendingWriteGuard {
     fn drop(&mut self) {
         self.0.pending_writes.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-impl Claiming {
-    /// Attempts at claiming the key whose row lies at `address`.
+impl ClaimWrite {
+    /// Prepares a claim of the key whose row is at `address`.
     pub(super) fn new(
         claims: Arc<Claims>,
         request: String,
@@ -88,7 +89,7 @@
         record: ClaimRecord,
     ) -> Self {
         Self {
-            _open: OpenWrite::begin(&claims),
+            _pending: PendingWriteGuard::new(&claims),
             claims,
             request,
             address,
@@ -98,42 +99,47 @@
         }
     }
 
-    /// Claims the key and tells how that was settled. A claim that nobody takes any more is
-    /// given back, and so is one that may still be written.
-    pub(super) async fn run(mut self, give_up_at: BootInstant, answer: oneshot::Sender<Settled>) {
-        if let Some(settled) = self.settle(give_up_at, &answer).await {
-            // What nobody takes is dropped, and a claim gives itself back then.
-            let _ = answer.send(settled);
+    /// Claims the key and sends the settlement to `answer`. Releases the key if the receiver is
+    /// gone, or if a write got no answer and may still take effect.
+    pub(super) async fn run(
+        mut self,
+        claim_deadline: BootInstant,
+        answer: oneshot::Sender<ClaimSettlement>,
+    ) {
+        if let Some(settlement) = self.settle(claim_deadline, &answer).await {
+            // If the receiver is gone, the settlement is dropped, which releases the claim.
+            let _ = answer.send(settlement);
             return;
         }
         drop(answer);
         if self.is_outcome_unknown {
-            self.give_back().run().await;
+            self.into_release().run().await;
         }
     }
 
-    /// Tries until the table has judged; nothing if that is given up.
+    /// Retries until the claim is settled. None if the deadline passes, the caller is gone or the
+    /// table becomes unavailable.
     async fn settle(
         &mut self,
-        give_up_at: BootInstant,
-        answer: &oneshot::Sender<Settled>,
-    ) -> Option<Settled> {
+        claim_deadline: BootInstant,
+        answer: &oneshot::Sender<ClaimSettlement>,
+    ) -> Option<ClaimSettlement> {
         loop {
             match self.commit().await {
-                Ok(Commit::Done(version)) => return Some(self.held(version)),
-                Ok(Commit::Conflict(met)) => match self.judge(&met) {
-                    Some(settled) => return Some(settled),
-                    // The row is free or gone: it is claimed under its present version.
+                Ok(Commit::Done(version)) => return Some(self.acquired(version)),
+                Ok(Commit::Conflict(existing)) => match self.decide(&existing) {
+                    Some(settlement) => return Some(settlement),
+                    // The row is released or absent: retry against its present version.
                     None => continue,
                 },
                 Err(CommitError::Unknown) => self.is_outcome_unknown = true,
                 Err(CommitError::NotDone) => {}
             }
-            let is_late = BootInstant::now() + CLAIM_PAUSE >= give_up_at;
-            if is_late || answer.is_closed() || !self.claims.may_be_settled() {
+            let is_late = BootInstant::now() + CLAIM_RETRY_INTERVAL >= claim_deadline;
+            if is_late || answer.is_closed() || !self.claims.is_table_available() {
                 return None;
             }
-            tokio::time::sleep(CLAIM_PAUSE).await;
+            tokio::time::sleep(CLAIM_RETRY_INTERVAL).await;
         }
     }
 
@@ -142,35 +148,36 @@
         self.claims.table.commit(&transaction).await
     }
 
-    /// How the row that was met settles the claim; nothing if the key is free.
-    fn judge(&mut self, met: &[Row]) -> Option<Settled> {
-        let Some(row) = met.iter().find(|row| row.address == self.address) else {
+    /// Settles the claim by the existing row. None if the key is available; `base` is then the
+    /// version to replace.
+    fn decide(&mut self, existing: &[Row]) -> Option<ClaimSettlement> {
+        let Some(row) = existing.iter().find(|row| row.address == self.address) else {
             self.base = None;
             return None;
         };
         let Some(record) = ClaimRecord::decode(&row.value) else {
-            return Some(Settled::Met(Verdict::OutcomeUnknown));
+            return Some(ClaimSettlement::Existing(ClaimDecision::OutcomeUnknown));
         };
         let now_ms = self.claims.table.now_ms().unwrap_or(record.due_ms);
-        match record.judge(&self.record, now_ms) {
-            Verdict::Own => Some(self.held(row.version)),
-            Verdict::Free => {
-                self.base = Some(Base {
+        match record.decide(&self.record, now_ms) {
+            ClaimDecision::OwnClaim => Some(self.acquired(row.version)),
+            ClaimDecision::Available => {
+                self.base = Some(BaseVersion {
                     version: row.version,
                     delete_at_ms: record.delete_at_ms,
                 });
                 None
             }
-            verdict => Some(Settled::Met(verdict)),
+            decision => Some(ClaimSettlement::Existing(decision)),
         }
     }
 
-    fn held(&self, version: RowVersion) -> Settled {
-        let base = Base {
+    fn acquired(&self, version: RowVersion) -> ClaimSettlement {
+        let base = BaseVersion {
             version,
             delete_at_ms: self.record.delete_at_ms,
         };
-        Settled::Held(Arc::new(Claim::new(
+        ClaimSettlement::Acquired(Arc::new(Claim::new(
             Arc::clone(&self.claims),
             self.request.clone(),
             self.address.clone(),
@@ -179,25 +186,26 @@
         )))
     }
 
-    /// Writes that nothing has run, over what the claim replaces or over the claim itself.
-    fn give_back(self) -> Ending {
+    /// Prepares a write of the state `Released`, replacing either the row that the claim would have
+    /// replaced or the claim itself.
+    fn into_release(self) -> OutcomeWrite {
         let record = self.record.in_state(ClaimState::Released);
-        Ending::new(self.claims, self.request, self.address, record, self.base)
+        OutcomeWrite::new(self.claims, self.request, self.address, record, self.base)
     }
 }
 
-impl Ending {
-    /// Attempts at writing `record` over the row that `base` tells of; without one the row
+impl OutcomeWrite {
+    /// Prepares a write of `record` that replaces the row at version `base`. Without `base` the row
     /// must be absent.
     pub(super) fn new(
         claims: Arc<Claims>,
         request: String,
         address: RowAddress,
         record: ClaimRecord,
-        base: Option<Base>,
+        base: Option<BaseVersion>,
     ) -> Self {
         Self {
-            _open: OpenWrite::begin(&claims),
+            _pending: PendingWriteGuard::new(&claims),
             claims,
             request,
             address,
@@ -206,42 +214,42 @@
         }
     }
 
-    /// The bytes of the row that it writes.
+    /// Size of the row in bytes.
     pub(super) fn row_bytes(&self) -> usize {
         self.record.encode().len()
     }
 
-    /// Tries until the table has judged, for a bounded time.
+    /// Retries until the table confirms or rejects the write, up to [`OUTCOME_WRITE_TIMEOUT`].
     pub(super) async fn run(mut self) {
-        let give_up_at = BootInstant::now() + ENDING_TIME;
+        let write_deadline = BootInstant::now() + OUTCOME_WRITE_TIMEOUT;
         loop {
             let transaction = transaction(&self.address, &self.record, self.base);
             match self.claims.table.commit(&transaction).await {
                 Ok(Commit::Done(_)) => return,
-                Ok(Commit::Conflict(met)) => match self.running_claim(&met) {
+                Ok(Commit::Conflict(existing)) => match self.find_running_claim(&existing) {
                     Some(base) => self.base = Some(base),
-                    // It is written already, or the row is no longer this sending's.
+                    // Already written, or the row no longer belongs to this call.
                     None => return,
                 },
-                Err(_) if BootInstant::now() >= give_up_at => return self.log_left(),
-                Err(_) => tokio::time::sleep(ENDING_PAUSE).await,
+                Err(_) if BootInstant::now() >= write_deadline => return self.log_unsettled(),
+                Err(_) => tokio::time::sleep(OUTCOME_RETRY_INTERVAL).await,
             }
         }
     }
 
-    /// The claim of this sending, if it is what was met.
-    fn running_claim(&self, met: &[Row]) -> Option<Base> {
-        let row = met.iter().find(|row| row.address == self.address)?;
+    /// Returns the version of this call's claim if it is still in state `Running`.
+    fn find_running_claim(&self, existing: &[Row]) -> Option<BaseVersion> {
+        let row = existing.iter().find(|row| row.address == self.address)?;
         let record = ClaimRecord::decode(&row.value)?;
-        let is_own = record.is_of_same_sending(&self.record);
+        let is_own = record.is_same_call(&self.record);
         let is_running = record.state == ClaimState::Running;
-        (is_own && is_running).then_some(Base {
+        (is_own && is_running).then_some(BaseVersion {
             version: row.version,
             delete_at_ms: record.delete_at_ms,
         })
     }
 
-    fn log_left(&self) {
+    fn log_unsettled(&self) {
         let state = match self.record.state {
             ClaimState::Answered(_) => "answered",
             ClaimState::Released | ClaimState::Running => "released",
@@ -249,14 +257,18 @@
         events::emit(&Event::ClaimLeft {
             request: &self.request,
             state,
-            cause: "the table did not settle it",
+            cause: "the table did not confirm the write in time",
         });
     }
 }
 
-/// Writes a claim in place of another one, or where there is none, and when it may be
-/// deleted.
-fn transaction(address: &RowAddress, record: &ClaimRecord, base: Option<Base>) -> Transaction {
+/// Builds the transaction that writes a claim and its expiry row, replacing the row at version
+/// `base`. Without `base` the row must be absent.
+fn transaction(
+    address: &RowAddress,
+    record: &ClaimRecord,
+    base: Option<BaseVersion>,
+) -> Transaction {
     let version = base.map(|base| base.version);
     let time = rows::claim_time(address, record.delete_at_ms);
     let transaction = Transaction::new()
--- a/crates/sloetrail-serving/src/gateway/read.rs
+++ b/crates/sloetrail-serving/src/gateway/read.rs
@@ -1,8 +1,8 @@
-//! Reading batches: results by position, and the bodies of items.
+//! Reads of batches: results by position, and the bodies of items.
 //!
-//! Everything is read from committed rows, so that each node gives the same answers.
-//! A node that cannot read them says so; only the absence of the head's row, as the
-//! table tells it, means that there is no such batch.
+//! Answers come from committed rows only, so every node gives the same answer. A failed read
+//! is reported as an unavailable table. A batch is unknown only if a successful read finds no
+//! header row.
 
 use super::batch_lookup::{find_header, table_unavailable};
 use super::message::{CallerResponse, json_response, problem_response, whole_body};
@@ -18,15 +18,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often results are looked for while a reader waits for some: what completes a step is
-/// told 30 ms after it was listed on average, at one small read of the table a look.
-const LOOK_PERIOD: Duration = Duration::from_millis(60);
-/// How long the last look may take beyond the time of the reader: three answers of a table in
-/// another region (28 ms).
-const LAST_LOOK: Duration = Duration::from_millis(90);
+/// Interval between reads of the table while a reader waits for results.
+const RESULT_POLL_INTERVAL: Duration = Duration::from_millis(60);
+/// Time by which the last poll may exceed the reader's waiting time. Covers a table in another
+/// region.
+const MAX_FINAL_POLL: Duration = Duration::from_millis(90);
 
-/// Answers a reader of results from `position` on, waiting for some that it can use up to
-/// `wait`. What is older than the reader takes is told without its text.
+/// Answers with the results from `position` on, waiting up to `wait` for results that the
+/// reader can use. Results older than the reader's oldest version are reported without text.
 pub(crate) async fn results(
     context: &NodeContext,
     id: &str,
@@ -37,7 +36,7 @@
 ) -> CallerResponse {
     match try_results(context, id, caller, position, wait, demand).await {
         Ok(page) => {
-            note_too_old(id, position, &page, demand);
+            log_too_old(id, position, &page, demand);
             let body = serde_json::to_vec(&page).unwrap_or_default();
             json_response(StatusCode::OK, body)
         }
@@ -45,10 +44,10 @@
     }
 }
 
-/// Logs that a reader was refused texts that are older than it takes.
-fn note_too_old(id: &str, position: usize, page: &ResultPage, demand: ReaderDemand) {
-    let told = page.results.iter();
-    let too_old = told.filter(|result| result.state == ToldState::TooOld);
+/// Logs how many results were reported without text because of their weight version.
+fn log_too_old(id: &str, position: usize, page: &ResultPage, demand: ReaderDemand) {
+    let reported = page.results.iter();
+    let too_old = reported.filter(|result| result.state == ToldState::TooOld);
     let results = too_old.count();
     if results > 0 {
         events::emit(&Event::ResultsTooOld {
@@ -68,66 +67,72 @@
     wait: Duration,
     demand: ReaderDemand,
 ) -> Result<ResultPage, Problem> {
-    let began = BootInstant::now();
-    // Both at once: it saves an answer of the table, 28 ms where that is in another region.
+    let started_at = BootInstant::now();
+    // Concurrent reads save a round trip, which matters if the table is in another region.
     let (header, listed) = tokio::join!(
         find_header(context, id, caller),
         read_results(&*context.table, id, position)
     );
     let header = header?;
-    let time = match context.settings.policies.gather_results {
-        true => ReadingTime::new(began, wait, &header, context.table.now_ms()),
-        false => ReadingTime::for_any_result(began, wait),
+    let result_wait = match context.settings.policies.gather_results {
+        true => ReadingTime::new(started_at, wait, &header, context.table.now_ms()),
+        false => ReadingTime::for_any_result(started_at, wait),
     };
-    let mut known = listed.map_err(|_| table_unavailable())?;
+    let mut results = listed.map_err(|_| table_unavailable())?;
     loop {
-        let next = position + known.len();
-        let next_look = BootInstant::now() + LOOK_PERIOD;
-        let kept_until = time.kept_until(&known);
-        if next >= header.total || next_look > kept_until {
-            return Ok(page(position, header.total, known, demand));
+        let next = position + results.len();
+        let next_poll = BootInstant::now() + RESULT_POLL_INTERVAL;
+        let poll_deadline = result_wait.kept_until(&results);
+        if next >= header.total || next_poll > poll_deadline {
+            return Ok(page(position, header.total, results, demand));
         }
-        sloetrail_clock::sleep_until(next_look).await;
-        match look(context, id, next, kept_until + LAST_LOOK).await {
-            Look::Answered(more) => known.extend(more),
-            Look::Failed if known.is_empty() => return Err(table_unavailable()),
-            // What is known is told now: the table may stay away for longer.
-            Look::Failed | Look::TooSlow => return Ok(page(position, header.total, known, demand)),
+        sloetrail_clock::sleep_until(next_poll).await;
+        match poll_results(context, id, next, poll_deadline + MAX_FINAL_POLL).await {
+            PollOutcome::Answered(more) => results.extend(more),
+            PollOutcome::Failed if results.is_empty() => return Err(table_unavailable()),
+            // Returns the results read so far: the outage may outlast the reader's wait.
+            PollOutcome::Failed | PollOutcome::TimedOut => {
+                return Ok(page(position, header.total, results, demand));
+            }
         }
     }
 }
 
-/// What came of looking for further results.
-enum Look {
-    /// These are there.
+/// Outcome of one read of further results.
+enum PollOutcome {
     Answered(Vec<ListedResult>),
-    /// The table did not tell.
+    /// The read failed.
     Failed,
-    /// The table had not told when the time was over.
-    TooSlow,
+    /// The read had not completed by its deadline.
+    TimedOut,
 }
 
-/// Looks for results from a position on, for no longer than `until`. The read itself goes on
-/// to its end: one that is broken off would count as a sign of silent connections.
-async fn look(context: &NodeContext, id: &str, position: usize, until: BootInstant) -> Look {
+/// Reads results from `position` on, waiting until `until` at most. The read itself is not
+/// cancelled: a cancelled read would count as a sign of an unresponsive connection.
+async fn poll_results(
+    context: &NodeContext,
+    id: &str,
+    position: usize,
+    until: BootInstant,
+) -> PollOutcome {
     let (table, id) = (Arc::clone(&context.table), id.to_owned());
     let reading = tokio::spawn(async move { read_results(&*table, &id, position).await });
     match sloetrail_clock::timeout_at(until, reading).await {
-        Ok(Ok(Ok(results))) => Look::Answered(results),
-        // The table client tells why; a read that panics says so itself.
-        Ok(Ok(Err(_)) | Err(_)) => Look::Failed,
-        Err(_) => Look::TooSlow,
+        Ok(Ok(Ok(results))) => PollOutcome::Answered(results),
+        // The table client logs the cause of a failure, the panic hook that of a panic.
+        Ok(Ok(Err(_)) | Err(_)) => PollOutcome::Failed,
+        Err(_) => PollOutcome::TimedOut,
     }
 }
 
-/// An answer with as many results as it may hold.
+/// Builds the page that starts at `position`, limited to the maximum size of a page.
 fn page(
     position: usize,
     total: usize,
-    known: Vec<ListedResult>,
+    results: Vec<ListedResult>,
     demand: ReaderDemand,
 ) -> ResultPage {
-    let results = fitting(known, demand);
+    let results = fit_page(results, demand);
     ResultPage {
         total,
         next: position + results.len(),
@@ -135,21 +140,20 @@
     }
 }
 
-/// As many results as one answer may hold, at least one.
-fn fitting(listed: Vec<ListedResult>, demand: ReaderDemand) -> Vec<ToldResult> {
+/// Takes results up to the maximum size of a page, but at least one.
+fn fit_page(listed: Vec<ListedResult>, demand: ReaderDemand) -> Vec<ToldResult> {
     let mut bytes = 0;
     let fits = |(index, result): &(usize, ToldResult)| {
         bytes += result.text.len();
         *index == 0 || bytes <= PAGE_BYTES
     };
-    let told = listed
+    let reported = listed
         .into_iter()
         .map(|result| ToldResult::new(result, demand));
-    let fitting = told.enumerate().take_while(fits);
-    fitting.map(|(_, result)| result).collect()
+    let page = reported.enumerate().take_while(fits);
+    page.map(|(_, result)| result).collect()
 }
 
-/// Answers with the body of an item.
 pub(crate) async fn item_body(
     context: &NodeContext,
     id: &str,
@@ -174,7 +178,10 @@
         .map_err(|_| table_unavailable())?
         .ok_or_else(table_unavailable)?;
     let submission = Submission::parse(&stored).map_err(|_| table_unavailable())?;
-    let found = submission.items.into_iter().find(|known| known.id == item);
+    let found = submission
+        .items
+        .into_iter()
+        .find(|candidate| candidate.id == item);
     let Some(found) = found else {
         let detail = format!("batch {id} has no item {item}");
         return Err(Problem::new(ResultCode::UnknownBatch, detail));
--- a/crates/sloetrail-serving/src/gateway/submit.rs
+++ b/crates/sloetrail-serving/src/gateway/submit.rs
@@ -1,14 +1,13 @@
 //! Accepting and ending batches.
 //!
-//! A batch is accepted once its submission and its head are committed; the head's
-//! row must have been absent. The same batch sent again, to whatever node, finds
-//! the head and is accepted again. An answer that promises that nothing runs is
-//! given only if the table says that nothing was written; if the table does not
-//! answer, the caller is told that the outcome is unknown and sends again.
+//! A batch is accepted once its submission and its header are committed, on condition that
+//! the header row was absent. A resubmission at any node finds the header and is accepted
+//! again. A problem of kind `not_run` is returned only if the table confirms that nothing was
+//! written. If a commit got no answer, the outcome is reported as unknown, and the caller
+//! submits again.
 //!
-//! Outages of the table last seconds, as long as a caller's two or three tries. A
-//! submission that meets one therefore waits for its end, for a part of the caller's
-//! time ([`waiting`]), and is then refused with the time to come back.
+//! A submission during an outage of the table waits for the outage to end, for a share of
+//! the caller's time ([`waiting`]). It is then refused with a retry delay.
 
 mod resubmission;
 mod waiting;
@@ -16,7 +15,7 @@
 pub(crate) use self::resubmission::{confirm_accepted_batch, find_accepted_batch};
 pub(crate) use self::waiting::WaitingSubmissions;
 
-use self::waiting::{Hindrance, wait_for_table};
+use self::waiting::{AcceptanceError, wait_for_table};
 use super::batch_lookup::{RETRY_AFTER, find_header, table_unavailable};
 use super::message::{CallerResponse, empty_response, problem_response};
 use super::regions;
@@ -35,80 +34,74 @@
 use sloetrail_types::{AllowedRegions, ServiceName};
 use std::time::Duration;
 
-/// When to come back after an outage was waited for in vain. Outages of 3 to 7 s are
-/// what the operators play; the retry waits as well, so it need not come late.
-const OUTAGE_RETRY_AFTER: Duration = Duration::from_millis(1_000);
-/// The most of the caller's time left that a retry may be put off by. Callers do not
-/// heed more than a third of it.
-const RETRY_AFTER_SHARE: f64 = 0.25;
-/// How long an acceptance is tried for, as a part of the time until its answer is due:
-/// under half, so that the caller has as much left for one more try at another node.
-const ACCEPTANCE_SHARE: f64 = 0.45;
-/// Between two attempts at a transaction that failed.
-const COMMIT_PAUSE: Duration = Duration::from_millis(25);
+/// Maximum retry delay if the outage outlasts the wait. The retry waits for the table as well,
+/// so a short delay suffices.
+const MAX_OUTAGE_RETRY_AFTER: Duration = Duration::from_millis(1_000);
+/// Maximum retry delay as a share of the caller's remaining time. Callers ignore a delay of more
+/// than a third of it.
+const MAX_RETRY_AFTER_SHARE: f64 = 0.25;
+/// Time limit of an acceptance as a share of the time until its deadline. Under half, so that the
+/// caller can retry once at another node.
+const MAX_ACCEPTANCE_TIME_SHARE: f64 = 0.45;
+/// Delay between attempts at a failed transaction.
+const COMMIT_RETRY_INTERVAL: Duration = Duration::from_millis(25);
 
 enum Acceptance {
     New,
     Repeated,
 }
 
-/// A batch that is accepted.
-struct Accepted {
+struct AcceptedBatch {
     acceptance: Acceptance,
     items: usize,
     regions: AllowedRegions,
 }
 
-/// A batch as it was submitted.
+/// A submission of a batch.
 pub(crate) struct SubmissionCall<'a> {
-    /// The configuration that it is accepted under.
     pub(crate) configuration: &'a ServingConfiguration,
-    /// The route that it came by.
     pub(crate) route: &'a Route,
-    /// The service that runs it.
+    /// The service that runs the batch.
     pub(crate) service: &'a ServiceName,
-    /// Its id.
     pub(crate) id: &'a str,
-    /// Whose it is; nothing where the configuration names no tenants.
+    /// None if the configuration has no tenants.
     pub(crate) tenant: Option<&'a Tenant>,
-    /// The regions that its route and its tenant allow.
+    /// The regions that both the route and the tenant allow.
     pub(crate) regions: AllowedRegions,
-    /// Its body.
     pub(crate) body: Bytes,
-    /// When it was received.
     pub(crate) received: BootInstant,
-    /// When its answer is due.
+    /// Time by which the caller expects an answer.
     pub(crate) deadline: BootInstant,
 }
 
-/// Answers a submission.
+/// Accepts or refuses a submission, and logs the outcome.
 pub(crate) async fn submit(
     context: &NodeContext,
     waiting: &WaitingSubmissions,
     call: SubmissionCall<'_>,
 ) -> CallerResponse {
     let (id, service) = (call.id, call.service);
-    let began = BootInstant::now();
+    let started_at = BootInstant::now();
     let outcome = accept(context, waiting, &call).await;
     match outcome {
         Ok(accepted) => {
-            let word = match accepted.acceptance {
+            let outcome_label = match accepted.acceptance {
                 Acceptance::New => "accepted",
                 Acceptance::Repeated => "repeated",
             };
-            telemetry::batch_answered(word, began.elapsed());
+            telemetry::batch_answered(outcome_label, started_at.elapsed());
             events::emit(&Event::BatchAccepted {
                 batch: id,
                 service: service.as_str(),
                 items: accepted.items,
                 repeated: matches!(accepted.acceptance, Acceptance::Repeated),
                 regions: &accepted.regions.to_string(),
-                took_ms: began.elapsed().as_millis() as u64,
+                took_ms: started_at.elapsed().as_millis() as u64,
             });
             empty_response(StatusCode::ACCEPTED)
         }
         Err(problem) => {
-            telemetry::batch_answered("refused", began.elapsed());
+            telemetry::batch_answered("refused", started_at.elapsed());
             events::emit(&Event::BatchRefused {
                 batch: id,
                 code: problem.code,
@@ -123,12 +116,12 @@
     context: &NodeContext,
     waiting: &WaitingSubmissions,
     call: &SubmissionCall<'_>,
-) -> Result<Accepted, Problem> {
+) -> Result<AcceptedBatch, Problem> {
     let SubmissionCall {
         route, id, body, ..
     } = call;
     if !is_usable_id(id) {
-        let detail = format!("the id {id:?} cannot name a batch");
+        let detail = format!("invalid batch id {id:?}");
         return Err(Problem::new(ResultCode::MalformedRequest, detail));
     }
     let submission = Submission::parse(body)
@@ -136,9 +129,9 @@
     let items = submission.items.len();
     let regions = regions::of_batch(call.configuration, &call.regions, &submission);
     let (model, oldest_version) = (submission.model.clone(), submission.min_version);
-    // A submission may wait for the table: only its body is held meanwhile.
+    // Frees the parsed form: only the body is retained while the submission waits for the table.
     drop(submission);
-    let parts = cut(body, context.table.limits().row_bytes);
+    let parts = split_body(body, context.table.limits().row_bytes);
     let header = BatchHeader {
         service: call.service.clone(),
         host: route.host.clone(),
@@ -162,33 +155,33 @@
         waiting,
         id,
         body_bytes: body.len(),
-        give_up_at: give_up_at(call.received, call.deadline),
+        acceptance_deadline: acceptance_deadline(call.received, call.deadline),
         deadline: call.deadline,
-        outcome_unknown: false,
+        is_outcome_unknown: false,
     };
     let acceptance = commit.run(&transactions).await?;
-    Ok(Accepted {
+    Ok(AcceptedBatch {
         acceptance,
         items,
         regions,
     })
 }
 
-/// When an acceptance is given up.
-fn give_up_at(received: BootInstant, deadline: BootInstant) -> BootInstant {
+/// Time at which attempts to accept a submission end.
+fn acceptance_deadline(received: BootInstant, deadline: BootInstant) -> BootInstant {
     let time = deadline.saturating_duration_since(received);
-    received + time.mul_f64(ACCEPTANCE_SHARE)
+    received + time.mul_f64(MAX_ACCEPTANCE_TIME_SHARE)
 }
 
-fn cut(body: &Bytes, row_bytes: usize) -> Vec<Bytes> {
+fn split_body(body: &Bytes, row_bytes: usize) -> Vec<Bytes> {
     let starts = (0..body.len()).step_by(row_bytes);
     starts
         .map(|start| body.slice(start..body.len().min(start + row_bytes)))
         .collect()
 }
 
-/// The transactions that store a batch: as many as its size needs, the head with
-/// the last parts. Parts that are stored without a head mean nothing.
+/// Builds the transactions that store a batch. The last one holds the header: parts without a
+/// header are ignored.
 fn transactions(
     context: &NodeContext,
     id: &str,
@@ -218,16 +211,16 @@
     all
 }
 
-/// The attempts at committing one batch.
+/// Commits the transactions of one batch, with retries.
 struct BatchCommit<'a> {
     context: &'a NodeContext,
     waiting: &'a WaitingSubmissions,
     id: &'a str,
     body_bytes: usize,
-    give_up_at: BootInstant,
+    acceptance_deadline: BootInstant,
     deadline: BootInstant,
-    /// An attempt got no answer: it may still take effect.
-    outcome_unknown: bool,
+    /// True if an attempt got no answer and may still take effect.
+    is_outcome_unknown: bool,
 }
 
 impl BatchCommit<'_> {
@@ -241,58 +234,66 @@
         Ok(acceptance)
     }
 
-    /// Tries until the table judges the transaction or the time is over. While the table
-    /// is known not to answer it is not asked.
+    /// Retries until the table commits or rejects the transaction, or the deadline has passed.
+    /// Sends nothing while the table is known not to answer.
     async fn commit(&mut self, transaction: &Transaction) -> Result<Commit, Problem> {
         loop {
-            if let Err(hindrance) = self.wait_for_table().await {
-                return Err(self.refusal(hindrance));
+            if let Err(error) = self.wait_for_table().await {
+                return Err(self.refusal(error));
             }
             match self.context.table.commit(transaction).await {
-                Ok(judged) => return Ok(judged),
-                Err(error) => self.outcome_unknown |= error == CommitError::Unknown,
+                Ok(commit) => return Ok(commit),
+                Err(error) => self.is_outcome_unknown |= error == CommitError::Unknown,
             }
-            if BootInstant::now() + COMMIT_PAUSE >= self.give_up_at {
-                return Err(self.refusal(Hindrance::NotTaken));
+            if BootInstant::now() + COMMIT_RETRY_INTERVAL >= self.acceptance_deadline {
+                return Err(self.refusal(AcceptanceError::NotCommitted));
             }
-            tokio::time::sleep(COMMIT_PAUSE).await;
+            tokio::time::sleep(COMMIT_RETRY_INTERVAL).await;
         }
     }
 
-    async fn wait_for_table(&self) -> Result<(), Hindrance> {
+    async fn wait_for_table(&self) -> Result<(), AcceptanceError> {
         if self.context.table.is_isolated() {
-            return Err(Hindrance::Isolated);
+            return Err(AcceptanceError::Isolated);
         }
         if self.context.table.is_answering() {
             return Ok(());
         }
         events::emit(&Event::BatchWaits { batch: self.id });
         let table = &*self.context.table;
-        wait_for_table(table, self.waiting, self.body_bytes, self.give_up_at).await
+        wait_for_table(
+            table,
+            self.waiting,
+            self.body_bytes,
+            self.acceptance_deadline,
+        )
+        .await
     }
 
-    /// The answer to a batch that could not be committed. It promises that nothing runs
-    /// only if no attempt may still take effect.
-    fn refusal(&self, hindrance: Hindrance) -> Problem {
-        let code = match self.outcome_unknown {
+    /// Problem for a batch that was not committed. Its kind is `not_run` only if no attempt may
+    /// still take effect.
+    fn refusal(&self, error: AcceptanceError) -> Problem {
+        let code = match self.is_outcome_unknown {
             true => ResultCode::BatchUnconfirmed,
             false => ResultCode::TableUnavailable,
         };
-        let detail = format!("batch {}: {hindrance}", self.id);
-        let retry_after = match hindrance {
-            Hindrance::OutageLasts => self.retry_after_outage(),
-            Hindrance::Isolated | Hindrance::TooManyWait | Hindrance::NotTaken => RETRY_AFTER,
+        let detail = format!("batch {}: {error}", self.id);
+        let retry_after = match error {
+            AcceptanceError::OutagePersists => self.outage_retry_after(),
+            AcceptanceError::Isolated
+            | AcceptanceError::TooManyWaiting
+            | AcceptanceError::NotCommitted => RETRY_AFTER,
         };
         Problem::new(code, detail).with_retry_after_ms(retry_after.as_millis() as u64)
     }
 
-    fn retry_after_outage(&self) -> Duration {
-        let left = self.deadline.saturating_duration_since(BootInstant::now());
-        OUTAGE_RETRY_AFTER.min(left.mul_f64(RETRY_AFTER_SHARE))
+    fn outage_retry_after(&self) -> Duration {
+        let remaining = self.deadline.saturating_duration_since(BootInstant::now());
+        MAX_OUTAGE_RETRY_AFTER.min(remaining.mul_f64(MAX_RETRY_AFTER_SHARE))
     }
 }
 
-/// Ends a batch: what is not listed need not be run any more.
+/// Ends a batch: items without a listed result need not run any more.
 pub(crate) async fn end(
     context: &NodeContext,
     id: &str,
@@ -312,8 +313,8 @@
     }
 }
 
-/// The service that runs a batch: the first with a share, so that the same batch
-/// sent again goes to the same one.
+/// Returns the service that runs a batch: the first with a positive weight, so that a
+/// resubmission reaches the same service.
 pub(crate) fn batch_service(services: &[WeightedService]) -> Option<&ServiceName> {
     let part = services.iter().find(|part| part.weight > 0.0)?;
     Some(&part.service)
--- a/crates/sloetrail-serving/src/gateway/submit/resubmission.rs
+++ b/crates/sloetrail-serving/src/gateway/submit/resubmission.rs
@@ -1,8 +1,7 @@
-//! Batches that are sent again once no configuration would accept them any more.
+//! Resubmissions of batches that the present configuration would refuse.
 //!
-//! A batch follows the configuration that accepted it. Sent again after its route and its
-//! tenant were left without a common region, it runs all the same, and nobody may be told
-//! that it does not.
+//! A batch runs under the configuration that accepted it, also if its route and its tenant no
+//! longer share an allowed region. A resubmission must therefore not be refused as not run.
 
 use crate::batch_rows::read_header;
 use crate::context::NodeContext;
@@ -15,12 +14,11 @@
 use sloetrail_clock::BootInstant;
 use sloetrail_result::{Problem, ResultCode};
 
-/// The head of a batch that was accepted before, by one read of the table; nothing if the
-/// table tells that there is none.
+/// Returns the header of an accepted batch, with one read of the table. None if there is none.
 ///
 /// # Errors
 ///
-/// If the table does not tell by the deadline: whether the batch runs is not known then.
+/// `BatchUnconfirmed` if the table does not answer by the deadline: the batch may be running.
 pub(crate) async fn find_accepted_batch(
     context: &NodeContext,
     id: &str,
@@ -30,22 +28,22 @@
         return Ok(None);
     }
     if !context.table.is_answering() {
-        return Err(not_known(id));
+        return Err(unconfirmed(id));
     }
     let reading = read_header(&*context.table, id);
     match sloetrail_clock::timeout_at(deadline, reading).await {
         Ok(Ok(found)) => Ok(found.map(|(header, _)| header)),
-        Ok(Err(_)) | Err(_) => Err(not_known(id)),
+        Ok(Err(_)) | Err(_) => Err(unconfirmed(id)),
     }
 }
 
-fn not_known(id: &str) -> Problem {
-    let detail = format!("the table does not tell whether batch {id} was accepted before");
+fn unconfirmed(id: &str) -> Problem {
+    let detail = format!("the table did not answer whether batch {id} was accepted before");
     let retry_after = RETRY_AFTER.as_millis() as u64;
     Problem::new(ResultCode::BatchUnconfirmed, detail).with_retry_after_ms(retry_after)
 }
 
-/// Answers a batch that was accepted before: it is accepted again.
+/// Answers the resubmission of an accepted batch, and logs it.
 pub(crate) fn confirm_accepted_batch(
     id: &str,
     header: &BatchHeader,
--- a/crates/sloetrail-serving/src/gateway/submit/waiting.rs
+++ b/crates/sloetrail-serving/src/gateway/submit/waiting.rs
@@ -1,4 +1,4 @@
-//! Submissions that wait for the end of an outage of the table.
+//! Submissions that wait for an outage of the table to end.
 
 use crate::gateway::body_budget::BodyBudget;
 use crate::table::Table;
@@ -6,67 +6,73 @@
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
 
-/// How often a waiting submission checks whether the table answers again. The table is
-/// asked by its client alone, every 250 ms in an outage; a check costs no call.
-const CHECK_PERIOD: Duration = Duration::from_millis(50);
-/// Waiting submissions may take one byte in this many of those for request bodies. Live
-/// requests need the rest.
+/// Interval at which a waiting submission checks the state of the table client. A check makes no
+/// call to the table.
+const TABLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Divides the budget for request bodies to get the share of waiting submissions. Live requests
+/// use the rest.
 const BODY_BUDGET_DIVISOR: usize = 2;
 
-/// The bytes of the submissions that wait at a node.
+/// Budget for the bodies of submissions that wait for the table.
 pub(crate) struct WaitingSubmissions(BodyBudget);
 
 impl WaitingSubmissions {
-    /// None waits yet; all request bodies together may take `body_budget_bytes`.
+    /// `body_budget_bytes` is the budget for all request bodies of the node.
     pub(crate) fn new(body_budget_bytes: usize) -> Self {
         Self(BodyBudget::new(body_budget_bytes / BODY_BUDGET_DIVISOR))
     }
 }
 
-/// What kept a batch from being accepted.
+/// Why a batch was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Hindrance {
-    /// The table has not come back in the time that there was.
-    OutageLasts,
-    /// No other node that may help can be reached either: another one may well reach the
-    /// table.
+pub(super) enum AcceptanceError {
+    /// The table did not answer again before the acceptance deadline.
+    OutagePersists,
+    /// This node reaches neither the table nor a node that could relay. Other nodes may still
+    /// reach the table.
     Isolated,
-    /// Too many submissions wait here already. The newest is refused, since it has the
-    /// most time left to ask elsewhere.
-    TooManyWait,
-    /// The table refused the transaction, or did not answer, to the end.
-    NotTaken,
+    /// The budget for waiting submissions is used up. The newest submission is refused: it has
+    /// the most time left for a retry at another node.
+    TooManyWaiting,
+    /// The table refused every attempt at the transaction, or did not answer.
+    NotCommitted,
 }
 
-impl Display for Hindrance {
+impl Display for AcceptanceError {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::OutageLasts => "the table does not answer",
-            Self::Isolated => "this node reaches neither the table nor a node that may help",
-            Self::TooManyWait => "too many batches wait for the table",
-            Self::NotTaken => "the table did not take it",
+            Self::OutagePersists => "the table does not answer",
+            Self::Isolated => {
+                "this node reaches neither the table nor a node that can relay its calls"
+            }
+            Self::TooManyWaiting => "too many batches are waiting for the table",
+            Self::NotCommitted => "the table did not commit it in time",
         })
     }
 }
 
-/// Waits until the table answers again, if that can be hoped for.
+/// Waits until the table answers again.
+///
+/// # Errors
+///
+/// If the body exceeds the budget, the node is isolated, or the acceptance deadline passes.
 pub(super) async fn wait_for_table(
     table: &dyn Table,
     waiting: &WaitingSubmissions,
     body_bytes: usize,
-    give_up_at: BootInstant,
-) -> Result<(), Hindrance> {
-    let mut held = waiting.0.begin();
-    if !held.grow(body_bytes) {
-        return Err(Hindrance::TooManyWait);
+    acceptance_deadline: BootInstant,
+) -> Result<(), AcceptanceError> {
+    let mut reservation = waiting.0.begin();
+    if !reservation.grow(body_bytes) {
+        return Err(AcceptanceError::TooManyWaiting);
     }
     while !table.is_answering() {
         if table.is_isolated() {
-            return Err(Hindrance::Isolated);
+            return Err(AcceptanceError::Isolated);
         }
-        tokio::time::sleep(CHECK_PERIOD).await;
-        if BootInstant::now() >= give_up_at {
-            return Err(Hindrance::OutageLasts);
+        tokio::time::sleep(TABLE_CHECK_INTERVAL).await;
+        if BootInstant::now() >= acceptance_deadline {
+            return Err(AcceptanceError::OutagePersists);
         }
     }
     Ok(())
