--- a/crates/sloetrail-serving/tests/claims.rs
+++ b/crates/sloetrail-serving/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Requests with an idempotency key run at most once, and what repeats are told.
+//! Requests with an idempotency key run at most once; answers to their repeats.
 
 mod support;
 
@@ -20,7 +20,7 @@
 use support::{live, native_cluster, usual_cluster};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn one_key_at_two_nodes_at_once_runs_once_and_gives_one_answer() {
+async fn concurrent_calls_with_one_key_run_once() {
     const KEYS: usize = 12;
     const CALLERS: usize = 4;
     let cluster = usual_cluster(PACE).await;
@@ -37,16 +37,16 @@
             let address = cluster.nodes[caller % 2].callers;
             tokio::spawn(async move { call.send(address).await })
         });
-        let mut whole = Vec::new();
+        let mut answers = Vec::new();
         for sent in sending.collect::<Vec<_>>() {
             let answer = sent.await.expect("no panic").expect("an answer");
             match answer.status.as_u16() {
-                200 => whole.push(answer.text()),
+                200 => answers.push(answer.text()),
                 _ => assert_code(&answer, KEY_IN_PROGRESS),
             }
         }
-        whole.dedup();
-        assert_eq!(whole.len(), 1, "{path}: {whole:?}");
+        answers.dedup();
+        assert_eq!(answers.len(), 1, "{path}: {answers:?}");
         assert_eq!(runs_at(&cluster, &path), 1, "{path}");
     }
 }
@@ -68,7 +68,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_failure_of_the_back_end_is_the_answer_of_repeats_too() {
+async fn repeats_get_the_stored_failure_of_the_back_end() {
     let cluster = usual_cluster(PACE).await;
     for engine in &cluster.engines {
         engine.set_fault(EngineFault::Fails, Some(1));
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn another_request_under_the_same_key_is_refused_with_its_own_code() {
+async fn a_different_request_with_the_key_is_refused() {
     let cluster = usual_cluster(PACE).await;
     assert_eq!(Keyed::default().send(&cluster, 0).await.status, 200);
     let others = [
@@ -120,7 +120,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn tenants_do_not_meet_in_their_keys() {
+async fn equal_keys_of_different_tenants_are_independent() {
     let mut cluster = usual_cluster(PACE).await;
     cluster.tenants = Some(json!([
         {"name": "north", "api_keys": ["north-secret"]},
@@ -142,9 +142,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_too_large_to_be_kept_runs_nothing_again() {
+async fn an_answer_too_large_to_store_prevents_reruns() {
     let cluster = usual_cluster(PACE).await;
-    // The back end's answer names the id; a row of the table holds 4,096 bytes.
+    // The back end's answer contains the id; a row of the table holds 4,096 bytes.
     let id: &'static str = "x".repeat(5_000).leak();
     assert_eq!(again(id).send(&cluster, 0).await.status, 200);
     tokio::time::sleep(Duration::from_millis(200)).await;
@@ -153,7 +153,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_repeat_gets_its_answer_also_after_its_route_was_renamed() {
+async fn a_repeat_is_answered_after_its_route_was_renamed() {
     let mut cluster = usual_cluster(PACE).await;
     let first = again("r1").send(&cluster, 0).await;
     assert_eq!(first.status, 200);
@@ -177,7 +177,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_series_of_events_that_may_not_repeat_begins_once() {
+async fn a_non_resumable_stream_starts_once() {
     let mut cluster = usual_cluster(PACE).await;
     let mut routes = usual_routes();
     routes[2]["resumable"] = json!(false);
@@ -194,13 +194,13 @@
     })
     .await;
     assert_eq!(first.status, 200);
-    let begun = runs_at(&cluster, "/events/x");
+    let runs = runs_at(&cluster, "/events/x");
     assert_code(&series("r2").send(&cluster, 1).await, KEY_IN_PROGRESS);
-    assert_eq!(runs_at(&cluster, "/events/x"), begun);
+    assert_eq!(runs_at(&cluster, "/events/x"), runs);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_without_a_key_or_that_may_repeat_costs_no_call_to_the_table() {
+async fn unkeyed_and_repeatable_requests_make_no_table_calls() {
     let cluster = usual_cluster(PACE).await;
     let repeatable = |path: &str, body| Keyed {
         path: path.to_owned(),
@@ -225,7 +225,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_dialect_that_names_no_keys_has_no_claims() {
+async fn a_dialect_without_key_header_writes_no_claims() {
     let mut names = native_cluster().names();
     names.idempotency_key = None;
     names.configuration_version = None;
@@ -240,7 +240,7 @@
         let mut headers = answer.headers.keys().map(HeaderName::as_str);
         assert!(!headers.any(|name| name.contains("configuration")));
     }
-    // Longer than the pause between two sweeps of a small fleet.
+    // Longer than the sweep interval of a small fleet.
     tokio::time::sleep(Duration::from_millis(5_500)).await;
     let link = &cluster.nodes[node].link;
     assert_eq!(link.uses_of(CLAIMS), LinkUse::default());
@@ -248,7 +248,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_goes_to_no_back_end_and_into_no_row() {
+async fn a_key_reaches_neither_back_ends_nor_rows() {
     let cluster = usual_cluster(PACE).await;
     for path in [PATH, "/live/x"] {
         let keyed = Keyed {
@@ -270,7 +270,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn keys_that_are_none_are_refused() {
+async fn invalid_keys_are_refused() {
     let cluster = usual_cluster(PACE).await;
     let too_long: &'static str = "k".repeat(201).leak();
     for key in ["", "two words", too_long] {
@@ -287,7 +287,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn claims_are_deleted_after_their_time_and_not_before() {
+async fn claims_are_deleted_only_after_their_retention() {
     let cluster = usual_cluster(PACE).await;
     assert_eq!(Keyed::default().send(&cluster, 0).await.status, 200);
     cluster.table.advance_clock(Duration::from_secs(86_000));
@@ -295,15 +295,15 @@
     assert_eq!(answered(&cluster, 1, "r2").await.text(), "answer to r1");
     cluster.table.advance_clock(Duration::from_secs(500));
     eventually("the claim is deleted", || async {
-        let left = cluster.table.rows(CLAIMS).len() + cluster.table.rows(CLAIM_TIMES).len();
-        (left == 0).then_some(())
+        let remaining = cluster.table.rows(CLAIMS).len() + cluster.table.rows(CLAIM_TIMES).len();
+        (remaining == 0).then_some(())
     })
     .await;
     assert_eq!(answered(&cluster, 1, "r3").await.text(), "answer to r3");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_without_an_id_gets_one_from_the_node() {
+async fn a_request_without_id_gets_a_generated_id() {
     let cluster = usual_cluster(PACE).await;
     let names = cluster.names();
     let mut ids = Vec::new();
@@ -317,9 +317,12 @@
         let answer = answer.expect("an answer");
         let id = answer.header(&names.request_id).expect("an id").to_owned();
         let runs = cluster.engines.iter().flat_map(|engine| engine.runs());
-        let ran: Vec<String> = runs.map(|run| run.id).collect();
+        let run_ids: Vec<String> = runs.map(|run| run.id).collect();
         assert!(!id.is_empty());
-        assert!(ran.contains(&id), "{path}: {id} is not among {ran:?}");
+        assert!(
+            run_ids.contains(&id),
+            "{path}: {id} is not among {run_ids:?}"
+        );
         ids.push(id);
     }
     ids.dedup();
@@ -333,7 +336,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_batch_is_named_by_its_trainer_alone() {
+async fn a_batch_without_an_id_is_refused() {
     let cluster = usual_cluster(PACE).await;
     let call = Call::new(Method::POST, HOST, "/rollout/x").body("{}");
     let answer = call.send(cluster.nodes[0].callers).await;
@@ -342,7 +345,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn each_answer_names_the_version_of_the_configuration_that_answered() {
+async fn each_answer_carries_its_configuration_version() {
     let mut cluster = usual_cluster(PACE).await;
     let names = cluster.names();
     let name = names.configuration_version.expect("a name");
@@ -357,7 +360,7 @@
     let unknown = cluster.read_answer(0, "unknown", 0).await.expect("404");
     assert_eq!(version_of(&unknown), Some(version));
     cluster.configure(usual_routes());
-    eventually("the next one is in force", || async {
+    eventually("the next version is in force", || async {
         let answer = live(&cluster, 0, "/live/x", "r3").await?;
         (version_of(&answer)? > version).then_some(())
     })
@@ -365,15 +368,15 @@
 }
 
 #[test]
-fn claims_are_kept_for_a_minute_at_least() {
-    let settings = |kept_s: u64| {
+fn claim_retention_below_one_minute_is_refused() {
+    let settings = |retention_s: u64| {
         let json = json!({
-            "node": "node-1", "zone": "zone-a", "claims_kept_s": kept_s,
+            "node": "node-1", "zone": "zone-a", "claims_kept_s": retention_s,
             "callers_address": "127.0.0.1:1", "ready_address": "127.0.0.1:2",
         });
         ServingSettings::parse(json.to_string().as_bytes(), 1)
     };
     assert!(settings(59).is_err());
-    let kept = settings(60).expect("sound").bounds.claims_kept;
-    assert_eq!(kept, Duration::from_secs(60));
+    let retention = settings(60).expect("valid settings").bounds.claims_kept;
+    assert_eq!(retention, Duration::from_secs(60));
 }
--- a/crates/sloetrail-serving/tests/claims_log.rs
+++ b/crates/sloetrail-serving/tests/claims_log.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys stand in no line of the log. One test, since a process has one log.
+//! Idempotency keys must not appear in the log. One test, since a process has one log.
 
 mod support;
 
@@ -15,7 +15,7 @@
 const CLAIMS: &str = "sloetrail_claims";
 const KEY: &str = "a-reading-of-one-household";
 
-/// Makes a keyed call and returns its status.
+/// Sends a request with this key and returns the status of its answer.
 async fn keyed(cluster: &Cluster, id: &str, key: &str, body: &str) -> u16 {
     let names = cluster.names();
     let key_name = names.idempotency_key.as_ref().expect("a name");
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn keys_stand_in_no_line() {
+async fn keys_do_not_appear_in_the_log() {
     let reader = LogReader::default();
     events::start_with(LevelFilter::Debug, "node-1", reader.clone()).expect("starts");
     let cluster = usual_cluster(Duration::from_millis(5)).await;
@@ -51,7 +51,7 @@
     .await;
     let lines = reader.text();
     for id in ["r2", "r3", "r4"] {
-        assert!(lines.contains(&format!("\"{id}\"")), "{id} is told of");
+        assert!(lines.contains(&format!("\"{id}\"")), "{id} is not logged");
     }
     assert!(!lines.contains(KEY));
 }
--- a/crates/sloetrail-serving/tests/claims_under_failure.rs
+++ b/crates/sloetrail-serving/tests/claims_under_failure.rs
@@ -1,5 +1,5 @@
-//! Keyed requests run at most once also when nodes die or stop, the table is away or its
-//! answers are lost, and callers leave.
+//! Keyed requests run at most once also when nodes crash or stop, the table is unavailable or
+//! loses answers, and callers disconnect.
 
 mod support;
 
@@ -14,11 +14,11 @@
 use std::time::Duration;
 use support::{client_cluster, live, usual_cluster};
 
-/// A claim that the table does not settle is waited for 900 ms of the route's two seconds.
-const AT_ONCE: Duration = Duration::from_millis(450);
+/// Bound for a refusal without a wait. A node waits 900 ms for a claim that isn't confirmed.
+const MAX_IMMEDIATE_REFUSAL: Duration = Duration::from_millis(450);
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_of_the_table_to_the_claim_is_settled() {
+async fn a_claim_succeeds_although_its_answer_is_lost() {
     let faults = [
         CommitFault::DoneUnanswered,
         CommitFault::LostOnTheWay,
@@ -38,7 +38,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_claim_that_is_not_settled_in_time_is_refused_as_not_run_and_given_back() {
+async fn an_unconfirmed_claim_is_refused_and_released() {
     let faults = [
         CommitFault::DoneUnanswered,
         CommitFault::DoneLate(Duration::from_millis(600)),
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_the_table_keyed_requests_are_refused_as_not_run_and_others_go_on() {
+async fn a_table_outage_refuses_only_keyed_requests() {
     let cluster = usual_cluster(PACE).await;
     cluster.table.set_down(true);
     let refused = Keyed::default().send(&cluster, 0).await;
@@ -86,9 +86,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_is_killed_between_claim_and_send_leaves_a_key_that_never_runs() {
+async fn a_crash_before_sending_leaves_the_key_claimed() {
     let mut cluster = usual_cluster(PACE).await;
-    // The claim is there and its answer is not: nothing can have been sent.
+    // The claim is written but its answer is lost, so nothing can have been sent.
     cluster
         .table
         .set_commit_fault_on(CLAIMS, CommitFault::DoneUnanswered, 1);
@@ -98,7 +98,7 @@
     claim_is_written(&cluster).await;
     cluster.nodes[0].kill();
     assert!(sent.await.expect("no panic").is_none(), "no answer came");
-    // Also once the request's two seconds are over.
+    // Repeats until after the request's deadline of two seconds.
     for _ in 0..4 {
         let repeated = again("r2").send(&cluster, 1).await;
         assert_code(&repeated, KEY_IN_PROGRESS);
@@ -109,7 +109,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_is_killed_between_send_and_stored_answer_leaves_an_unknown_outcome() {
+async fn a_crash_after_sending_leaves_an_unknown_outcome() {
     let mut cluster = usual_cluster(PACE).await;
     for engine in &cluster.engines {
         engine.set_pace(Duration::from_millis(300));
@@ -120,7 +120,7 @@
     runs(&cluster).await;
     cluster.nodes[0].kill();
     assert!(sent.await.expect("no panic").is_none(), "no answer came");
-    // Also once the request's two seconds are over.
+    // Repeats until after the request's deadline of two seconds.
     for _ in 0..4 {
         let repeated = again("r2").send(&cluster, 1).await;
         assert_code(&repeated, KEY_IN_PROGRESS);
@@ -130,7 +130,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_is_killed_after_its_answer_and_before_it_is_stored_runs_nothing_again() {
+async fn a_crash_before_storing_the_answer_prevents_reruns() {
     let mut cluster = usual_cluster(PACE).await;
     for engine in &cluster.engines {
         engine.set_pace(Duration::from_millis(200));
@@ -150,7 +150,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_is_stored_although_answers_of_the_table_are_lost() {
+async fn an_answer_is_stored_despite_lost_table_answers() {
     let faults = [
         CommitFault::DoneUnanswered,
         CommitFault::LostOnTheWay,
@@ -176,7 +176,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_stops_in_order_stores_the_answers_that_it_gave() {
+async fn a_stopping_node_stores_the_answers_it_gave() {
     let mut cluster = usual_cluster(PACE).await;
     for engine in &cluster.engines {
         engine.set_pace(Duration::from_millis(300));
@@ -188,10 +188,13 @@
     let refused = CommitFault::Refused;
     cluster.table.set_commit_fault_on(CLAIMS, refused, 1_000);
     cluster.nodes[0].stop();
-    // A node without work ends 2.5 s after it was told to, this one before 3.3 s.
+    // An idle node ends 2.5 s after the stop signal, this node before 3.3 s.
     tokio::time::sleep(Duration::from_millis(2_600)).await;
     cluster.table.set_commit_fault(CommitFault::None, None);
-    assert_eq!(sent.await.expect("no panic").expect("whole").status, 200);
+    assert_eq!(
+        sent.await.expect("no panic").expect("an answer").status,
+        200
+    );
     eventually("the node has ended", || async {
         cluster.nodes[0].has_ended().then_some(())
     })
@@ -202,7 +205,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_whose_request_was_refused_as_not_run_may_be_used_again() {
+async fn a_key_of_a_request_not_run_is_reusable() {
     let cluster = usual_cluster(PACE).await;
     for engine in &cluster.engines {
         engine.set_fault(EngineFault::Refuses, None);
@@ -220,7 +223,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_unknown_outcome_is_unknown_to_repeats_too() {
+async fn repeats_of_an_unknown_outcome_are_refused() {
     for fault in [EngineFault::AnswerLost, EngineFault::Crossed] {
         let cluster = usual_cluster(PACE).await;
         for engine in &cluster.engines {
@@ -237,7 +240,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_claim_is_carried_by_nodes_of_the_own_region_alone() {
+async fn claims_are_relayed_only_within_the_region() {
     const NODES: [(&str, &str); 3] = [
         ("node-1", "zone-a"),
         ("node-2", "zone-c"),
@@ -257,13 +260,13 @@
         let node = cluster.add_node_in(zone, name).await;
         cluster.wait_ready(node).await;
     }
-    // The nodes look at the rows of the others every few seconds.
+    // Nodes read the rows of other nodes every few seconds.
     tokio::time::sleep(Duration::from_millis(5_500)).await;
     cluster.nodes[0].link.set_cut(true);
     answered(&cluster, 0, "r1").await;
     assert!(cluster.nodes[1].link.uses_of(CLAIMS).writes > 0);
     cluster.nodes[1].kill();
-    // By then the other carries what may leave the region.
+    // By then the remaining node relays calls that may leave the region.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     for path in ["/once/a", "/once/b", "/once/c"] {
         let other = Keyed {
@@ -275,8 +278,12 @@
         let refused = other.send(&cluster, 0).await;
         let took = watch.elapsed();
         assert_not_run(&refused, TABLE_UNAVAILABLE);
-        assert!(took < AT_ONCE, "refused after {took:?}");
-        assert_eq!(refused.json()["retry_after_ms"], 150, "another node can");
+        assert!(took < MAX_IMMEDIATE_REFUSAL, "refused after {took:?}");
+        assert_eq!(
+            refused.json()["retry_after_ms"],
+            150,
+            "another node can serve the retry"
+        );
         assert_eq!(runs_at(&cluster, path), 0);
     }
     let unkeyed = live(&cluster, 0, "/once/unkeyed", "r2").await;
@@ -284,36 +291,36 @@
     assert_eq!(cluster.nodes[2].link.uses_of(CLAIMS), LinkUse::default());
 }
 
-/// Makes the usual call at the first node and leaves after this time.
-async fn call_and_leave(cluster: &Cluster, after: Duration) {
-    send_and_leave(cluster, &Keyed::default(), after).await;
+/// Sends the usual call to the first node and disconnects after this time.
+async fn call_and_disconnect(cluster: &Cluster, after: Duration) {
+    send_and_disconnect(cluster, &Keyed::default(), after).await;
 }
 
-async fn send_and_leave(cluster: &Cluster, keyed: &Keyed, after: Duration) {
+async fn send_and_disconnect(cluster: &Cluster, keyed: &Keyed, after: Duration) {
     let call = keyed.call(cluster);
     let sending = call.send(cluster.nodes[0].callers);
-    let left = tokio::time::timeout(after, sending).await;
-    assert!(left.is_err(), "the caller left before its answer");
+    let answer = tokio::time::timeout(after, sending).await;
+    assert!(answer.is_err(), "answered before the caller disconnected");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_before_anything_was_sent_may_come_again() {
+async fn a_disconnect_before_sending_releases_the_key() {
     let cluster = usual_cluster(PACE).await;
     let slow = CommitFault::Slow(Duration::from_millis(500));
     cluster.table.set_commit_fault_on(CLAIMS, slow, 1);
-    call_and_leave(&cluster, Duration::from_millis(150)).await;
+    call_and_disconnect(&cluster, Duration::from_millis(150)).await;
     claim_is_written(&cluster).await;
     answered(&cluster, 1, "r2").await;
     assert_eq!(runs_at(&cluster, PATH), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_after_proof_that_nothing_has_run_may_come_again() {
+async fn a_disconnect_after_refused_attempts_releases_the_key() {
     let cluster = usual_cluster(PACE).await;
     for engine in &cluster.engines {
         engine.set_fault(EngineFault::Refuses, None);
     }
-    // Some may leave just while one more sending is under way, which may have run.
+    // Some callers disconnect while another attempt is in flight, which may have run.
     let keys = ["k0", "k1", "k2", "k3", "k4", "k5", "k6", "k7", "k8", "k9"];
     let keyed = keys.map(|key| Keyed {
         key,
@@ -321,13 +328,13 @@
         ..again("r2")
     });
     for first in &keyed {
-        // Refused at once, it waits for a place for 115 ms at least.
-        send_and_leave(&cluster, first, Duration::from_millis(70)).await;
+        // After an immediate refusal the request waits at least 115 ms for a slot.
+        send_and_disconnect(&cluster, first, Duration::from_millis(70)).await;
     }
     for engine in &cluster.engines {
         engine.set_fault(EngineFault::None, None);
     }
-    eventually("a key is free again", || async {
+    eventually("a key is available again", || async {
         for repeated in &keyed {
             if repeated.send(&cluster, 1).await.status == 200 {
                 return Some(());
@@ -342,12 +349,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_while_its_request_runs_does_not_make_it_run_again() {
+async fn a_disconnect_while_running_prevents_reruns() {
     let cluster = usual_cluster(PACE).await;
     for engine in &cluster.engines {
         engine.set_pace(Duration::from_secs(5));
     }
-    call_and_leave(&cluster, Duration::from_millis(400)).await;
+    call_and_disconnect(&cluster, Duration::from_millis(400)).await;
     assert_eq!(runs_at(&cluster, PATH), 1);
     for engine in &cluster.engines {
         engine.set_pace(PACE);
--- a/crates/sloetrail-serving/tests/reading.rs
+++ b/crates/sloetrail-serving/tests/reading.rs
@@ -1,4 +1,4 @@
-//! Readers of results that give a waiting time.
+//! Reads of results with a waiting time.
 
 mod support;
 
@@ -10,13 +10,13 @@
 use support::{accepted, usual_cluster};
 use tokio::time::Instant;
 
-/// One event of an engine.
-const PACE: Duration = Duration::from_millis(4);
-/// What a reader allows.
+/// Event interval of the engine.
+const EVENT_INTERVAL: Duration = Duration::from_millis(4);
+/// Waiting time of the reader.
 const WAIT: Duration = Duration::from_millis(1_000);
 
-/// Three groups of which the trainer waits for two: one of single events, one that takes
-/// half a second and one that takes many.
+/// Builds a batch of three groups of which the trainer requires two. One group has single events,
+/// one takes half a second, and one takes many seconds.
 fn step() -> Value {
     let items = [
         item("a1", "a", 1),
@@ -39,7 +39,7 @@
         .expect("an answer")
 }
 
-/// The batch has this many results.
+/// Waits until at least `count` results of the batch are listed.
 async fn wait_listed(cluster: &Cluster, id: &str, count: usize) {
     eventually("results are listed", || async {
         let page = cluster.read(0, id, 0).await?;
@@ -56,86 +56,88 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_reader_is_answered_when_the_groups_that_are_waited_for_are_whole() {
-    let cluster = usual_cluster(PACE).await;
+async fn a_reader_waits_for_the_required_groups() {
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     accepted(&cluster, 0, "b1", &step()).await;
     wait_listed(&cluster, "b1", 1).await;
-    let began = Instant::now();
+    let started_at = Instant::now();
     let answer = read_waiting(&cluster, "b1", 0, WAIT).await;
-    let was_kept = began.elapsed() >= WAIT / 2;
+    let has_waited = started_at.elapsed() >= WAIT / 2;
     let has_both = ids(&answer).len() == 4;
     assert!(
-        has_both || was_kept,
-        "answered before anything of use was there: {:?}",
+        has_both || has_waited,
+        "answered before the required groups were complete: {:?}",
         ids(&answer)
     );
     wait_listed(&cluster, "b1", 4).await;
     let again = read_waiting(&cluster, "b1", 0, WAIT).await;
     assert_eq!(ids(&again).len(), 4);
-    let told = again.json()["results"].to_string();
-    assert!(!told.contains("whole"), "kept with the entries only");
+    let results = again.json()["results"].to_string();
+    assert!(!results.contains("whole"), "stored but not reported");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_reader_without_a_waiting_time_gets_what_there_is() {
-    let cluster = usual_cluster(PACE * 10).await;
+async fn a_reader_without_waiting_time_gets_available_results() {
+    let cluster = usual_cluster(EVENT_INTERVAL * 10).await;
     accepted(&cluster, 0, "b1", &step()).await;
     wait_listed(&cluster, "b1", 3).await;
     let answer = read_waiting(&cluster, "b1", 0, Duration::ZERO).await;
-    assert_eq!(ids(&answer).len(), 3, "the other group takes five seconds");
+    assert_eq!(ids(&answer).len(), 3, "the unfinished group takes longer");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_table_that_goes_away_while_a_reader_waits_keeps_nothing_from_it() {
-    let cluster = usual_cluster(PACE * 10).await;
+async fn a_table_outage_returns_results_already_read() {
+    let cluster = usual_cluster(EVENT_INTERVAL * 10).await;
     accepted(&cluster, 0, "b1", &step()).await;
     wait_listed(&cluster, "b1", 3).await;
     let reading = read_waiting(&cluster, "b1", 0, WAIT);
-    let going_away = async {
+    let outage = async {
         tokio::time::sleep(WAIT / 5).await;
         cluster.table.set_down(true);
     };
-    let (answer, ()) = tokio::join!(reading, going_away);
+    let (answer, ()) = tokio::join!(reading, outage);
     assert_eq!(answer.status, 200);
     assert_eq!(ids(&answer).len(), 3);
 }
 
-/// Longer than any reader may be kept, shorter than calls of the table are waited for.
+/// Answer time of the slow table: longer than the reader's wait, shorter than the timeout of table
+/// calls.
 const SLOW: Duration = Duration::from_millis(1_600);
-/// What a reader is kept for beyond its time, on a busy machine.
+/// Tolerance beyond the waiting time, for a busy machine.
 const MARGIN: Duration = Duration::from_millis(400);
 
-/// How long a reader from `after` on is kept by a node whose table becomes slow meanwhile.
-async fn kept_while_the_table_turns_slow(cluster: &Cluster, after: usize) -> (Answer, Duration) {
-    let began = Instant::now();
+/// Reads from position `after` while the table becomes slow. Returns the answer and the elapsed
+/// time.
+async fn read_while_table_slows(cluster: &Cluster, after: usize) -> (Answer, Duration) {
+    let started_at = Instant::now();
     let reading = read_waiting(cluster, "b1", after, WAIT);
-    let turning_slow = async {
+    let slowdown = async {
         tokio::time::sleep(WAIT / 5).await;
         cluster.nodes[0].link.set_answer_time(SLOW);
     };
-    let (answer, ()) = tokio::join!(reading, turning_slow);
-    (answer, began.elapsed())
+    let (answer, ()) = tokio::join!(reading, slowdown);
+    (answer, started_at.elapsed())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_reader_with_results_is_kept_no_longer_than_it_waits_by_a_table_that_turns_slow() {
-    let cluster = usual_cluster(PACE * 10).await;
+async fn a_slow_table_delays_no_reader_with_results() {
+    let cluster = usual_cluster(EVENT_INTERVAL * 10).await;
     accepted(&cluster, 0, "b1", &step()).await;
     wait_listed(&cluster, "b1", 3).await;
-    let (answer, kept) = kept_while_the_table_turns_slow(&cluster, 0).await;
+    let (answer, elapsed) = read_while_table_slows(&cluster, 0).await;
     assert_eq!(answer.status, 200);
     assert_eq!(ids(&answer).len(), 3);
-    assert!(kept < WAIT + MARGIN, "{kept:?}");
+    assert!(elapsed < WAIT + MARGIN, "{elapsed:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_reader_without_results_is_kept_no_longer_than_it_waits_by_a_table_that_turns_slow() {
-    let cluster = usual_cluster(PACE * 10).await;
+async fn a_slow_table_delays_no_reader_without_results() {
+    let cluster = usual_cluster(EVENT_INTERVAL * 10).await;
     accepted(&cluster, 0, "b1", &step()).await;
     wait_listed(&cluster, "b1", 3).await;
-    let (answer, kept) = kept_while_the_table_turns_slow(&cluster, 3).await;
+    let (answer, elapsed) = read_while_table_slows(&cluster, 3).await;
     assert_eq!(answer.status, 200);
     assert!(ids(&answer).is_empty());
     assert_eq!(answer.json()["next"], 3);
-    assert!(kept < WAIT + MARGIN, "{kept:?}");
+    assert!(elapsed < WAIT + MARGIN, "{elapsed:?}");
 }
--- a/crates/sloetrail-serving/tests/submissions.rs
+++ b/crates/sloetrail-serving/tests/submissions.rs
@@ -1,4 +1,4 @@
-//! Batches that are submitted while the table does not answer.
+//! Submissions of batches during an outage of the table.
 
 mod support;
 
@@ -9,13 +9,13 @@
 use std::time::{Duration, Instant};
 use support::client_cluster;
 
-/// Long enough for a node to know that the table does not answer.
-const KNOWN_AFTER: Duration = Duration::from_millis(1_500);
-/// The time of the route.
-const ROUTE_TIME: Duration = Duration::from_secs(5);
+/// Time after which a node has detected that the table does not answer.
+const DETECTION_TIME: Duration = Duration::from_millis(1_500);
+/// The timeout of the route.
+const ROUTE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One node with an engine, whose calls to the table know of its absence.
-async fn cluster_of_one(body_budget_bytes: Option<usize>) -> Cluster {
+/// Starts one node and one engine, with a table client that detects outages.
+async fn single_node_cluster(body_budget_bytes: Option<usize>) -> Cluster {
     let mut cluster = client_cluster();
     cluster.body_budget_bytes = body_budget_bytes;
     cluster.add_application("zone-a").await;
@@ -41,41 +41,41 @@
     let text = answer
         .headers
         .get("retry-after")
-        .expect("when to come back");
+        .expect("a retry-after header");
     text.to_str().expect("text").parse().expect("seconds")
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_batch_sent_in_an_outage_is_accepted_when_the_outage_ends() {
-    let cluster = cluster_of_one(None).await;
+async fn a_batch_is_accepted_when_the_outage_ends() {
+    let cluster = single_node_cluster(None).await;
     cluster.table.set_down(true);
-    tokio::time::sleep(KNOWN_AFTER).await;
-    let ending = async {
+    tokio::time::sleep(DETECTION_TIME).await;
+    let outage_end = async {
         tokio::time::sleep(Duration::from_millis(1_200)).await;
         cluster.table.set_down(false);
     };
     let body = small_batch("b1");
-    let (answer, ()) = tokio::join!(cluster.submit(0, "b1", &body), ending);
+    let (answer, ()) = tokio::join!(cluster.submit(0, "b1", &body), outage_end);
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, 202, "{}", answer.text());
     assert_eq!(cluster.wait_results(0, "b1", 4).await.len(), 4);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_batch_whose_outage_lasts_is_refused_with_half_of_the_time_left() {
-    let cluster = cluster_of_one(None).await;
+async fn a_long_outage_refuses_with_half_the_time_remaining() {
+    let cluster = single_node_cluster(None).await;
     cluster.table.set_down(true);
-    tokio::time::sleep(KNOWN_AFTER).await;
-    let began = Instant::now();
+    tokio::time::sleep(DETECTION_TIME).await;
+    let started_at = Instant::now();
     let answer = cluster.submit(0, "b1", &small_batch("b1")).await;
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, 503, "{}", answer.text());
-    let left = ROUTE_TIME - began.elapsed();
-    assert!(left > ROUTE_TIME / 2, "{left:?} left");
+    let remaining = ROUTE_TIMEOUT - started_at.elapsed();
+    assert!(remaining > ROUTE_TIMEOUT / 2, "{remaining:?} remaining");
     let retry_after = retry_after(&answer);
     assert!(
-        retry_after <= left.as_secs_f64() / 3.0,
-        "callers heed {retry_after} s"
+        retry_after <= remaining.as_secs_f64() / 3.0,
+        "retry after {retry_after} s exceeds a third of the remaining time"
     );
     cluster.table.set_down(false);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
@@ -83,11 +83,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn batches_that_wait_leave_room_for_live_requests() {
+async fn waiting_batches_leave_budget_for_live_requests() {
     const BUDGET: usize = 200_000;
-    let cluster = cluster_of_one(Some(BUDGET)).await;
+    let cluster = single_node_cluster(Some(BUDGET)).await;
     cluster.table.set_down(true);
-    tokio::time::sleep(KNOWN_AFTER).await;
+    tokio::time::sleep(DETECTION_TIME).await;
     let large = |id: &str| {
         let mut large = small_batch(id);
         large["padding"] = Value::from("p".repeat(BUDGET * 2 / 5));
@@ -114,14 +114,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_runs_for_a_caller_that_leaves_while_its_batch_waits() {
-    let cluster = cluster_of_one(None).await;
+async fn a_waiting_batch_of_a_disconnected_caller_never_runs() {
+    let cluster = single_node_cluster(None).await;
     cluster.table.set_down(true);
-    tokio::time::sleep(KNOWN_AFTER).await;
+    tokio::time::sleep(DETECTION_TIME).await;
     let call = submission(&cluster.names(), HOST, "b1", &small_batch("b1"));
     let sending = call.send(cluster.nodes[0].callers);
-    let left = tokio::time::timeout(Duration::from_millis(500), sending).await;
-    assert!(left.is_err(), "it left before the answer");
+    let answer = tokio::time::timeout(Duration::from_millis(500), sending).await;
+    assert!(answer.is_err(), "answered before the caller disconnected");
     cluster.table.set_down(false);
     tokio::time::sleep(Duration::from_millis(2_000)).await;
     assert!(cluster.table.rows("sloetrail_batches").is_empty());
