--- a/crates/sloetrail-serving/src/gateway/mod.rs
+++ b/crates/sloetrail-serving/src/gateway/mod.rs
@@ -7,6 +7,7 @@
 
 pub(crate) mod attempt;
 mod batch_call;
+mod batch_lookup;
 pub(crate) mod body_budget;
 pub(crate) mod call_log;
 pub(crate) mod caller;
--- a/crates/sloetrail-serving/src/node.rs
+++ b/crates/sloetrail-serving/src/node.rs
@@ -114,7 +114,7 @@
         tokio::spawn(quarantine::keep_swept(quarantine, fleet));
         if context.claims.is_some() {
             let (table, fleet) = (Arc::clone(&context.table), context.fleet.clone());
-            tokio::spawn(sweep::keep_swept(table, fleet));
+            tokio::spawn(sweep::run_sweeper(table, fleet));
         }
         let usage = reports.and_then(|(_, recipient)| start_usage(&context, recipient));
         let owners = supervise(Arc::clone(&context), usage, stopping.clone());
