--- a/crates/sloetrail-serving/src/cold_budgets/tests.rs
+++ b/crates/sloetrail-serving/src/cold_budgets/tests.rs
@@ -68,7 +68,7 @@
         let region = RegionName::from(region);
         budgets.expect("bounded").of_region(Some(&region)).ways
     };
-    let leased = LeasedSets::of_view(&leases);
+    let leased = LeasedSets::from_view(&leases);
     assert_eq!(ways(&LeasedSets::default(), "north"), 1);
     assert_eq!(ways(&leased, "north"), 2);
     assert_eq!(ways(&leased, "south"), 2, "the owners that are configured");
--- a/crates/sloetrail-serving/src/context.rs
+++ b/crates/sloetrail-serving/src/context.rs
@@ -4,7 +4,7 @@
 use crate::dialect::Dialect;
 use crate::directory::Directory;
 use crate::directory_interest::DirectoryInterest;
-use crate::ended_lives::EndedReceiver;
+use crate::ended_incarnations::EndedIncarnationsReceiver;
 use crate::engine_supply::EngineSupply;
 use crate::follow::{FleetSize, FollowPace, TakenIn, ViewReceiver};
 use crate::gateway::claims::Claims;
@@ -41,7 +41,7 @@
     /// How much of the directory this node wants to hold.
     pub(crate) directory_interest: Arc<DirectoryInterest>,
     /// Lives of back ends after which another one began.
-    pub(crate) ended_lives: EndedReceiver,
+    pub(crate) ended_incarnations: EndedIncarnationsReceiver,
     pub(crate) leases: ViewReceiver,
     /// Sets of bound batches that have, or had, an owner.
     pub(crate) leased_sets: watch::Receiver<Arc<LeasedSets>>,
--- a/crates/sloetrail-serving/src/directory.rs
+++ b/crates/sloetrail-serving/src/directory.rs
@@ -3,7 +3,7 @@
 use crate::back_end::BackEnd;
 use crate::dialect::Dialect;
 use crate::directory_index::KeyRanges;
-use crate::ended_lives::{EndedLives, LifeEnd};
+use crate::ended_incarnations::{EndedIncarnations, IncarnationEnd};
 use crate::events::{self, Event};
 use crate::follow::{FleetSize, TableView, TakenIn, ViewReceiver};
 use crate::operator::Evacuations;
@@ -47,7 +47,7 @@
     rows: BTreeMap<Arc<str>, Arc<KnownRow>>,
     /// Lives after which another one began under the same name. They have ended, and nothing
     /// that is said of them later makes them come back.
-    ended: Arc<EndedLives>,
+    ended: Arc<EndedIncarnations>,
 }
 
 impl Directory {
@@ -82,7 +82,7 @@
     }
 
     /// Lives after which another one began under the same name.
-    pub(crate) fn ended(&self) -> &Arc<EndedLives> {
+    pub(crate) fn ended(&self) -> &Arc<EndedIncarnations> {
         &self.ended
     }
 
@@ -155,8 +155,8 @@
                 .get(last)
                 .is_some_and(|back_end| back_end.draining);
             let end = match was_leaving {
-                true => LifeEnd::Planned,
-                false => LifeEnd::Crashed,
+                true => IncarnationEnd::Planned,
+                false => IncarnationEnd::Crashed,
             };
             events::emit(&Event::BackEndRestarted {
                 back_end: life.as_str(),
--- a/crates/sloetrail-serving/src/ended_lives.rs
+++ b/crates/sloetrail-serving/src/ended_incarnations.rs
@@ -16,7 +16,7 @@
 
 /// How a life ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LifeEnd {
+pub(crate) enum IncarnationEnd {
     /// It had said that it leaves.
     Planned,
     /// It had not.
@@ -25,15 +25,15 @@
 
 /// Lives after which another one began under the same name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct EndedLives {
-    ends: BTreeMap<EngineId, LifeEnd>,
+pub(crate) struct EndedIncarnations {
+    ends: BTreeMap<EngineId, IncarnationEnd>,
     /// The oldest first.
     order: VecDeque<EngineId>,
 }
 
-impl EndedLives {
+impl EndedIncarnations {
     /// Adds a life.
-    pub(crate) fn add(&mut self, life: EngineId, end: LifeEnd) {
+    pub(crate) fn add(&mut self, life: EngineId, end: IncarnationEnd) {
         if self.ends.insert(life.clone(), end).is_none() {
             self.order.push_back(life);
         }
@@ -45,17 +45,19 @@
     }
 
     /// How a life ended; nothing if no other one is known to have begun after it.
-    pub(crate) fn end_of(&self, life: &EngineId) -> Option<LifeEnd> {
+    pub(crate) fn end_of(&self, life: &EngineId) -> Option<IncarnationEnd> {
         self.ends.get(life).copied()
     }
 }
 
 /// The lives that have ended. It is told when there is one more: restarts are rare, and the
 /// directory itself changes with each sign of life.
-pub(crate) type EndedReceiver = watch::Receiver<Arc<EndedLives>>;
+pub(crate) type EndedIncarnationsReceiver = watch::Receiver<Arc<EndedIncarnations>>;
 
 /// Tells of lives that have ended until every receiver is gone.
-pub(crate) fn watch_ended_lives(mut directory: watch::Receiver<Arc<Directory>>) -> EndedReceiver {
+pub(crate) fn watch_ended_incarnations(
+    mut directory: watch::Receiver<Arc<Directory>>,
+) -> EndedIncarnationsReceiver {
     let (sender, receiver) = watch::channel(Arc::clone(directory.borrow().ended()));
     tokio::spawn(async move {
         loop {
@@ -75,8 +77,8 @@
 }
 
 /// Completes once another life is known to have begun after this one.
-pub(crate) async fn has_ended(mut ended: EndedReceiver, life: &EngineId) {
-    let is_known = |lives: &Arc<EndedLives>| lives.end_of(life).is_some();
+pub(crate) async fn wait_until_ended(mut ended: EndedIncarnationsReceiver, life: &EngineId) {
+    let is_known = |lives: &Arc<EndedIncarnations>| lives.end_of(life).is_some();
     if ended.wait_for(is_known).await.is_err() {
         // The node stops; its requests end by themselves.
         std::future::pending::<()>().await;
--- a/crates/sloetrail-serving/src/gateway/attempt.rs
+++ b/crates/sloetrail-serving/src/gateway/attempt.rs
@@ -4,7 +4,7 @@
 use crate::back_end::BackEnd;
 use crate::context::NodeContext;
 use crate::dialect::HeaderNames;
-use crate::ended_lives::has_ended;
+use crate::ended_incarnations::wait_until_ended;
 use crate::http::{Exchange, Reuse, SendFailure, WholeAnswer, WholeBody};
 use crate::quarantine::Passage;
 use bytes::Bytes;
@@ -128,7 +128,7 @@
     let result = tokio::select! {
         biased;
         result = exchanging => result,
-        () = has_ended(context.ended_lives.clone(), &back_end.id) => AttemptResult::Lost,
+        () = wait_until_ended(context.ended_incarnations.clone(), &back_end.id) => AttemptResult::Lost,
     };
     watch.end(&result);
     result
--- a/crates/sloetrail-serving/src/gateway/stream.rs
+++ b/crates/sloetrail-serving/src/gateway/stream.rs
@@ -12,7 +12,7 @@
 use super::live::{LiveCall, SENDS_LIMIT};
 use super::place_wait::{self, PlaceWait};
 use crate::context::NodeContext;
-use crate::ended_lives::has_ended;
+use crate::ended_incarnations::wait_until_ended;
 use crate::event_stream::EventParser;
 use crate::http::{AnswerBody, Exchange, Reuse, SendFailure, WholeAnswer};
 use crate::place_turns::PlaceSeeker;
@@ -369,11 +369,11 @@
         &mut self,
         limit: BootInstant,
     ) -> Result<Result<Option<Bytes>, SendFailure>, Elapsed> {
-        let ended = self.source.call.context.ended_lives.clone();
+        let ended = self.source.call.context.ended_incarnations.clone();
         let life = self.place.as_ref().map(|place| place.back_end().id.clone());
         let ending = async {
             match &life {
-                Some(life) => has_ended(ended, life).await,
+                Some(life) => wait_until_ended(ended, life).await,
                 None => std::future::pending().await,
             }
         };
--- a/crates/sloetrail-serving/src/leases/leased_sets.rs
+++ b/crates/sloetrail-serving/src/leases/leased_sets.rs
@@ -17,10 +17,10 @@
 
 impl LeasedSets {
     /// The sets whose leases a view of the lease rows holds.
-    pub(crate) fn of_view(leases: &TableView) -> Self {
+    pub(crate) fn from_view(leases: &TableView) -> Self {
         let subjects = leases.rows.keys();
         let subjects = subjects.filter_map(|key| rows::subject_of_lease(key));
-        Self(subjects.filter_map(BatchSet::of_bound_lease).collect())
+        Self(subjects.filter_map(BatchSet::from_lease_name).collect())
     }
 
     /// Each of them.
@@ -41,7 +41,7 @@
 /// Keeps the sets in step with the lease rows until every receiver is gone. The rows change
 /// with each renewal; the sets hardly ever.
 pub(crate) fn watch_leased_sets(mut leases: ViewReceiver) -> watch::Receiver<Arc<LeasedSets>> {
-    let first = LeasedSets::of_view(&leases.borrow_and_update());
+    let first = LeasedSets::from_view(&leases.borrow_and_update());
     let (sender, receiver) = watch::channel(Arc::new(first));
     tokio::spawn(async move {
         loop {
@@ -49,7 +49,7 @@
                 changed = leases.changed() => if changed.is_err() { return },
                 () = sender.closed() => return,
             }
-            let sets = LeasedSets::of_view(&leases.borrow_and_update());
+            let sets = LeasedSets::from_view(&leases.borrow_and_update());
             sender.send_if_modified(|known| {
                 let has_changed = **known != sets;
                 if has_changed {
--- a/crates/sloetrail-serving/src/leases/leased_sets/tests.rs
+++ b/crates/sloetrail-serving/src/leases/leased_sets/tests.rs
@@ -12,7 +12,7 @@
 fn view(subjects: &[&str], version: u64) -> Arc<TableView> {
     let addresses = subjects
         .iter()
-        .flat_map(|subject| [rows::lease(subject), rows::fence(subject)]);
+        .flat_map(|resource| [rows::lease(resource), rows::fence(resource)]);
     let rows = addresses.map(|address| {
         let row = Row {
             address: address.clone(),
@@ -38,7 +38,7 @@
 #[test]
 fn only_bound_sets_of_the_service_count() {
     let subjects = ["models", "models@north", "others@south", "*usage-reports"];
-    let sets = LeasedSets::of_view(&view(&subjects, 1));
+    let sets = LeasedSets::from_view(&view(&subjects, 1));
     let models = ServiceName::from("models");
     let of_service = sets.regions_of(&models);
     assert_eq!(of_service.collect::<Vec<_>>(), [&north()]);
--- a/crates/sloetrail-serving/src/leases/keeper.rs
+++ b/crates/sloetrail-serving/src/leases/manager.rs
@@ -1,7 +1,7 @@
 //! Who holds a lease: one keeper a lease on every node.
 
 use super::owner_watch::{OwnerWatch, WatchedTerm};
-use super::{LeaseSubject, Term, TermWork};
+use super::{LeaseResource, LeaseTask, Term};
 use crate::context::NodeContext;
 use crate::events::{self, Event};
 use crate::follow::{OwnedService, TableView, ViewReceiver};
@@ -41,10 +41,10 @@
 }
 
 /// Competes for one lease, and renews it while this node holds it.
-pub(crate) struct LeaseKeeper {
+pub(crate) struct LeaseManager {
     context: Arc<NodeContext>,
-    subject: LeaseSubject,
-    work: Arc<dyn TermWork>,
+    resource: LeaseResource,
+    work: Arc<dyn LeaseTask>,
     leases: ViewReceiver,
     origin: BootInstant,
     watcher: LeaseWatcher,
@@ -60,19 +60,19 @@
     watch: OwnerWatch,
 }
 
-impl LeaseKeeper {
+impl LeaseManager {
     /// A keeper that does not know who holds the lease. `work` is what this node does while
     /// it holds it.
     pub(crate) fn new(
         context: Arc<NodeContext>,
-        subject: LeaseSubject,
-        work: Arc<dyn TermWork>,
+        resource: LeaseResource,
+        work: Arc<dyn LeaseTask>,
     ) -> Self {
         let watcher = new_watcher(&context);
         Self {
             leases: context.leases.clone(),
             context,
-            subject,
+            resource,
             work,
             origin: BootInstant::now(),
             watcher,
@@ -163,7 +163,7 @@
             self.interruptions = view.interruptions;
             self.count_anew();
         }
-        let row = view.rows.get(&rows::lease(self.subject.name()).key);
+        let row = view.rows.get(&rows::lease(self.resource.name()).key);
         let version = row.map(|row| row.version);
         if version < self.seen_version {
             return;
@@ -212,9 +212,9 @@
     fn end_holding(&mut self, cause: &str) {
         if let Some(holding) = self.holding.take() {
             holding.term.ended.cancel();
-            telemetry::lease_held(self.subject.name(), 0);
+            telemetry::lease_held(self.resource.name(), 0);
             events::emit(&Event::LeaseLost {
-                service: self.subject.name(),
+                service: self.resource.name(),
                 epoch: holding.term.epoch.0,
                 cause,
             });
@@ -241,13 +241,13 @@
                 epoch,
             }),
         };
-        let regions = self.subject.regions();
+        let regions = self.resource.regions();
         let is_gone = self.watch.finds_gone(&self.context, watched, &regions);
         is_gone.then(|| self.watcher.take_over()).flatten()
     }
 
     async fn renew(&mut self, action: LeaseAction) {
-        let transaction = write_lease(&self.subject, &action);
+        let transaction = write_lease(&self.resource, &action);
         match self.context.table.commit(&transaction).await {
             Ok(Commit::Done(version)) => {
                 self.note_own_write(version, action.record);
@@ -264,10 +264,10 @@
     async fn take_over(&mut self, action: LeaseAction, view: &TableView) {
         let previous = self.watcher.holder().map(NodeId::to_string);
         let unchanged = self.unchanged_since.elapsed();
-        let fence = rows::fence(self.subject.name());
+        let fence = rows::fence(self.resource.name());
         let fence_version = view.rows.get(&fence.key).map(|row| row.version);
         let epoch = action.record.epoch;
-        let transaction = write_lease(&self.subject, &action)
+        let transaction = write_lease(&self.resource, &action)
             .require(fence.clone(), fence_version)
             .put(fence, epoch.to_string());
         let commit = self.context.table.commit(&transaction).await;
@@ -275,12 +275,12 @@
             Ok(Commit::Done(version)) => {
                 self.note_own_write(version, action.record);
                 events::emit(&Event::LeaseTaken {
-                    service: self.subject.name(),
+                    service: self.resource.name(),
                     epoch: epoch.0,
                     previous: previous.as_deref().unwrap_or("-"),
                     unchanged_ms: unchanged.as_millis() as u64,
                 });
-                telemetry::lease_held(self.subject.name(), epoch.0);
+                telemetry::lease_held(self.resource.name(), epoch.0);
                 self.begin_term(epoch, version);
             }
             Ok(Commit::Conflict(rows)) => self.note_conflict(&rows),
@@ -301,7 +301,7 @@
     fn begin_term(&mut self, epoch: Epoch, fence: RowVersion) {
         let (sender, confirmed_at) = watch::channel(BootInstant::now());
         let term = Term {
-            subject: self.subject.clone(),
+            resource: self.resource.clone(),
             epoch,
             fence,
             releasing: CancellationToken::new(),
@@ -309,7 +309,7 @@
             confirmed_at,
         };
         let work = tokio::spawn(self.work.run(term.clone()));
-        let waits = self.work.waits_for_back_ends();
+        let waits = self.work.uses_min_poll_interval();
         self.holding = Some(Holding {
             term,
             work,
@@ -329,7 +329,7 @@
     fn note_conflict(&mut self, current: &[Row]) {
         // Whoever wrote the row lives.
         self.watch.stop();
-        let address = rows::lease(self.subject.name());
+        let address = rows::lease(self.resource.name());
         let row = current.iter().find(|row| row.address == address);
         self.observe_row(row, BootInstant::now());
         self.check_holding();
@@ -345,12 +345,12 @@
         let _ = tokio::time::timeout(RELEASE_TIME, holding.work).await;
         holding.term.ended.cancel();
         if let Some(action) = self.watcher.release() {
-            let transaction = write_lease(&self.subject, &action);
+            let transaction = write_lease(&self.resource, &action);
             // Without an answer the lease runs out by itself.
             let _ = self.context.table.commit(&transaction).await;
         }
         events::emit(&Event::LeaseLost {
-            service: self.subject.name(),
+            service: self.resource.name(),
             epoch: holding.term.epoch.0,
             cause: "the node stops",
         });
@@ -367,8 +367,8 @@
     LeaseWatcher::new(settings.instance.clone(), settings.bounds.lease)
 }
 
-fn write_lease(subject: &LeaseSubject, action: &LeaseAction) -> Transaction {
-    let address = rows::lease(subject.name());
+fn write_lease(resource: &LeaseResource, action: &LeaseAction) -> Transaction {
+    let address = rows::lease(resource.name());
     let record = serde_json::to_vec(&action.record).unwrap_or_default();
     Transaction::new()
         .require(address.clone(), action.expected)
--- a/crates/sloetrail-serving/src/leases/order_window.rs
+++ b/crates/sloetrail-serving/src/leases/order_window.rs
@@ -74,7 +74,7 @@
             until_ms: now_ms + (length + CLOCK_MARGIN).as_millis() as u64,
         };
         let value = serde_json::to_vec(&window).unwrap_or_default();
-        let address = rows::order_window(term.subject.name());
+        let address = rows::order_window(term.resource.name());
         let transaction = term.transaction().put(address, value);
         let commit = context.table.commit(&transaction).await;
         self.commit_time = began.elapsed();
@@ -98,7 +98,7 @@
 /// From when on this term's owner may give orders; nothing if it cannot be read.
 async fn not_before_ms(context: &NodeContext, term: &Term) -> Option<u64> {
     let table: &dyn Table = &*context.table;
-    let row = read_row(table, &rows::order_window(term.subject.name()))
+    let row = read_row(table, &rows::order_window(term.resource.name()))
         .await
         .ok()?;
     let Some(row) = row else {
--- a/crates/sloetrail-serving/src/leases/subject.rs
+++ b/crates/sloetrail-serving/src/leases/resource.rs
@@ -7,28 +7,28 @@
 
 /// What a lease is for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum LeaseSubject {
+pub(crate) enum LeaseResource {
     /// Batches of a service.
     Batches(BatchSet),
     /// The reports of what tenants use.
     UsageReports,
 }
 
-impl LeaseSubject {
+impl LeaseResource {
     /// The name in the keys of rows, in log lines and in metrics. No service has a name
     /// that begins with a star.
     pub(crate) fn name(&self) -> &str {
         match self {
-            LeaseSubject::Batches(set) => &set.name,
-            LeaseSubject::UsageReports => "*usage-reports",
+            LeaseResource::Batches(set) => &set.name,
+            LeaseResource::UsageReports => "*usage-reports",
         }
     }
 
     /// The regions whose nodes compete for the lease.
     pub(crate) fn regions(&self) -> AllowedRegions {
         match self {
-            LeaseSubject::Batches(set) => set.regions.clone(),
-            LeaseSubject::UsageReports => AllowedRegions::everywhere(),
+            LeaseResource::Batches(set) => set.regions.clone(),
+            LeaseResource::UsageReports => AllowedRegions::everywhere(),
         }
     }
 }
@@ -59,7 +59,7 @@
     }
 
     /// The batches that a lease of this name is for; nothing unless they are bound.
-    pub(crate) fn of_bound_lease(name: &str) -> Option<Self> {
+    pub(crate) fn from_lease_name(name: &str) -> Option<Self> {
         let (service, regions) = name.split_once('@')?;
         let regions = AllowedRegions::only(regions.split('+').map(RegionName::from));
         Some(Self::new(ServiceName::from(service), regions))
@@ -82,20 +82,20 @@
 
     /// True for the batches that may be anywhere. Their owner alone is in charge of the
     /// engines: it orders weights and numbers.
-    pub(crate) fn is_in_charge_of_engines(&self) -> bool {
+    pub(crate) fn controls_engine_count(&self) -> bool {
         self.regions.is_everywhere()
     }
 }
 
 /// What the holder of a lease does.
-pub(crate) trait TermWork: Send + Sync {
+pub(crate) trait LeaseTask: Send + Sync {
     /// Works until the term is over, or puts the work down in an orderly way when it is
     /// told to.
     fn run(&self, term: Term) -> BoxFuture<'static, ()>;
 
     /// True if the work waits for news of back ends, which the directory is then asked
     /// for as often as in a small fleet.
-    fn waits_for_back_ends(&self) -> bool {
+    fn uses_min_poll_interval(&self) -> bool {
         false
     }
 }
--- a/crates/sloetrail-serving/src/leases/subject/tests.rs
+++ b/crates/sloetrail-serving/src/leases/resource/tests.rs
@@ -1,9 +1,9 @@
-use super::{BatchSet, LeaseSubject};
+use super::{BatchSet, LeaseResource};
 use sloetrail_types::{AllowedRegions, RegionName, ServiceName};
 
 fn lease_name(regions: AllowedRegions) -> String {
     let set = BatchSet::new(ServiceName::from("models"), regions);
-    LeaseSubject::Batches(set).name().to_owned()
+    LeaseResource::Batches(set).name().to_owned()
 }
 
 #[test]
@@ -11,10 +11,10 @@
     let only = |names: [&str; 2]| AllowedRegions::only(names.map(RegionName::from));
     assert_eq!(lease_name(AllowedRegions::everywhere()), "models");
     assert_eq!(lease_name(only(["south", "north"])), "models@north+south");
-    let set = BatchSet::of_bound_lease("models@north+south").expect("bound");
+    let set = BatchSet::from_lease_name("models@north+south").expect("bound");
     assert_eq!(set.regions(), &only(["north", "south"]));
-    assert_eq!(LeaseSubject::Batches(set).name(), "models@north+south");
-    assert_eq!(BatchSet::of_bound_lease("models"), None);
+    assert_eq!(LeaseResource::Batches(set).name(), "models@north+south");
+    assert_eq!(BatchSet::from_lease_name("models"), None);
     assert_eq!(
         lease_name(only(["north", "south"])),
         lease_name(only(["south", "north"]))
--- a/crates/sloetrail-serving/src/leases/term.rs
+++ b/crates/sloetrail-serving/src/leases/term.rs
@@ -1,6 +1,6 @@
 //! One term of a lease.
 
-use super::LeaseSubject;
+use super::LeaseResource;
 use crate::lease_holder::LeaseHolder;
 use crate::rows;
 use crate::settings::ServingSettings;
@@ -14,7 +14,7 @@
 /// One term of a lease: from taking it to losing it or giving it up.
 #[derive(Clone, Debug)]
 pub(crate) struct Term {
-    pub(crate) subject: LeaseSubject,
+    pub(crate) resource: LeaseResource,
     pub(crate) epoch: Epoch,
     /// The version of the fence row that the term's first transaction wrote.
     pub(crate) fence: RowVersion,
@@ -42,6 +42,6 @@
 
     /// A transaction that takes effect only within this term.
     pub(crate) fn transaction(&self) -> Transaction {
-        Transaction::new().require(rows::fence(self.subject.name()), Some(self.fence))
+        Transaction::new().require(rows::fence(self.resource.name()), Some(self.fence))
     }
 }
--- a/crates/sloetrail-serving/src/lib.rs
+++ b/crates/sloetrail-serving/src/lib.rs
@@ -22,7 +22,7 @@
 pub mod directory;
 mod directory_index;
 mod directory_interest;
-mod ended_lives;
+mod ended_incarnations;
 pub mod engine_supply;
 mod event_stream;
 pub mod events;
--- a/crates/sloetrail-serving/src/node.rs
+++ b/crates/sloetrail-serving/src/node.rs
@@ -5,7 +5,7 @@
 use crate::dialect::Dialect;
 use crate::directory::watch_directory;
 use crate::directory_interest::{DirectoryInterest, keep_enough};
-use crate::ended_lives::watch_ended_lives;
+use crate::ended_incarnations::watch_ended_incarnations;
 use crate::engine_supply::EngineSupply;
 use crate::events::{self, Event};
 use crate::follow::{FleetSize, FollowPaces, HeldReading, ViewReceiver, follow, follow_directory};
@@ -259,11 +259,11 @@
         directory.clone(),
         in_force.clone(),
     );
-    let ended_lives = watch_ended_lives(directory.clone());
+    let ended_incarnations = watch_ended_incarnations(directory.clone());
     let (quarantine, crashes_taken_in) = Quarantine::start(
         &settings,
         Arc::clone(&table),
-        (directory.clone(), ended_lives.clone()),
+        (directory.clone(), ended_incarnations.clone()),
         views.leases.clone(),
     );
     let beliefs = [
@@ -307,7 +307,7 @@
         peers,
         dialect,
         pools,
-        ended_lives,
+        ended_incarnations,
         quarantine,
         directory,
         directory_taken_in,
--- a/crates/sloetrail-serving/src/owner/mod.rs
+++ b/crates/sloetrail-serving/src/owner/mod.rs
@@ -31,7 +31,7 @@
 
 use self::service_owner::ServiceOwner;
 use crate::context::NodeContext;
-use crate::leases::{BatchSet, Term, TermWork};
+use crate::leases::{BatchSet, LeaseTask, Term};
 use futures_util::future::BoxFuture;
 use std::sync::Arc;
 
@@ -43,13 +43,13 @@
     pub(crate) set: BatchSet,
 }
 
-impl TermWork for BatchesWork {
+impl LeaseTask for BatchesWork {
     fn run(&self, term: Term) -> BoxFuture<'static, ()> {
         let owner = ServiceOwner::new(Arc::clone(&self.context), self.set.clone(), term);
         Box::pin(owner.run())
     }
 
-    fn waits_for_back_ends(&self) -> bool {
+    fn uses_min_poll_interval(&self) -> bool {
         true
     }
 }
--- a/crates/sloetrail-serving/src/owner/place_demand/heard.rs
+++ b/crates/sloetrail-serving/src/owner/place_demand/heard.rs
@@ -132,6 +132,6 @@
     let keys = view.rows.keys();
     keys.filter_map(|key| {
         let name = rows::subject_of_place_demand(key)?;
-        Some((key, BatchSet::of_bound_lease(name)?))
+        Some((key, BatchSet::from_lease_name(name)?))
     })
 }
--- a/crates/sloetrail-serving/src/owner/run.rs
+++ b/crates/sloetrail-serving/src/owner/run.rs
@@ -4,7 +4,7 @@
 use super::pace::PaceMeter;
 use crate::back_end::BackEnd;
 use crate::context::NodeContext;
-use crate::ended_lives::has_ended;
+use crate::ended_incarnations::wait_until_ended;
 use crate::event_stream::{EventParser, StreamEvent};
 use crate::gateway::attempt::{
     AttemptResult, Outgoing, build_request, judge_failure, judge_head, settle_by_head,
@@ -177,7 +177,7 @@
         let outcome = tokio::select! {
             biased;
             outcome = self.run_to_end() => outcome,
-            () = has_ended(context.ended_lives.clone(), &life) => RunOutcome::Lost,
+            () = wait_until_ended(context.ended_incarnations.clone(), &life) => RunOutcome::Lost,
         };
         match outcome {
             RunOutcome::Whole | RunOutcome::Failed | RunOutcome::Impossible => watch.answered(),
--- a/crates/sloetrail-serving/src/owner/service_owner/batches.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/batches.rs
@@ -67,7 +67,7 @@
 
     /// A batch that another owner of the service runs counts for the engines' weights.
     fn note_other(&mut self, id: BatchId, header: BatchHeader) {
-        if !self.set.is_in_charge_of_engines() {
+        if !self.set.controls_engine_count() {
             return;
         }
         if let Some(model) = &header.model {
--- a/crates/sloetrail-serving/src/owner/service_owner/demand.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/demand.rs
@@ -15,7 +15,7 @@
     /// Writes down what the batches take of the engines, if that is due and engines can be
     /// ordered at all.
     pub(super) fn tell_demand(&mut self) {
-        if self.set.is_in_charge_of_engines() || self.engine_supply().is_none() {
+        if self.set.controls_engine_count() || self.engine_supply().is_none() {
             return;
         }
         let running: usize = self.batches.values().map(|open| open.runs.len()).sum();
@@ -50,7 +50,7 @@
     /// The row of the set as this node knows it, of whichever owner.
     fn stored_demand(&self) -> StoredDemand {
         let view = self.context.leases.borrow().clone();
-        let address = rows::place_demand(self.term.subject.name());
+        let address = rows::place_demand(self.term.resource.name());
         let Some(row) = view.rows.get(&address.key) else {
             return StoredDemand::Absent;
         };
@@ -67,7 +67,7 @@
 }
 
 async fn write(context: &NodeContext, term: &Term, row: &DemandRow) -> DemandWritten {
-    let address = rows::place_demand(term.subject.name());
+    let address = rows::place_demand(term.resource.name());
     let transaction = term.transaction().put(address, row.encode());
     let written = match context.table.commit(&transaction).await {
         Ok(Commit::Done(_)) => DemandWritten::Done,
@@ -75,7 +75,7 @@
         Err(_) => DemandWritten::Unknown,
     };
     events::emit(&Event::DemandTold {
-        service: term.subject.name(),
+        service: term.resource.name(),
         busy: row.demand.busy,
         wanted: row.demand.wanted,
         step_percent: row.demand.step_percent,
--- a/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
@@ -179,7 +179,7 @@
         let open = self.batches.values();
         let waiting = open.map(|open| open.batch.waiting()).sum();
         let running = self.batches.values().map(|open| open.runs.len()).sum();
-        telemetry::items(self.term.subject.name(), waiting, running);
-        telemetry::scores_waiting(self.term.subject.name(), self.rewards.waiting());
+        telemetry::items(self.term.resource.name(), waiting, running);
+        telemetry::scores_waiting(self.term.resource.name(), self.rewards.waiting());
     }
 }
--- a/crates/sloetrail-serving/src/owner/service_owner/supply.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/supply.rs
@@ -86,7 +86,7 @@
             return;
         }
         let share = age.as_millis() as f64 / header.run_target_ms as f64;
-        match self.set.is_in_charge_of_engines() {
+        match self.set.controls_engine_count() {
             true => self.supply.scaler.note_step(self.supply.now(), share),
             false => self.demand.note_step(share),
         }
@@ -102,7 +102,7 @@
 
     /// Takes in what the engines do, and orders another number of them if one is wanted.
     pub(super) fn drive_supply(&mut self) {
-        if !self.set.is_in_charge_of_engines() {
+        if !self.set.controls_engine_count() {
             return;
         }
         let Some((supply, bounds)) = self.engine_supply() else {
--- a/crates/sloetrail-serving/src/owner/service_owner/versions.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/versions.rs
@@ -43,7 +43,7 @@
 
     /// Gives the orders that are due, within a window that was committed before.
     pub(super) fn drive_weights(&mut self) {
-        if !self.set.is_in_charge_of_engines() {
+        if !self.set.controls_engine_count() {
             return;
         }
         let least = self.context.settings.bounds.concurrent_loads;
--- a/crates/sloetrail-serving/src/quarantine/crash_watch.rs
+++ b/crates/sloetrail-serving/src/quarantine/crash_watch.rs
@@ -7,7 +7,7 @@
 
 use crate::back_end::BackEnd;
 use crate::directory::Directory;
-use crate::ended_lives::{EndedReceiver, LifeEnd};
+use crate::ended_incarnations::{EndedIncarnationsReceiver, IncarnationEnd};
 use crate::http::{Listening, look_at};
 use crate::telemetry;
 use sloetrail_clock::BootInstant;
@@ -97,13 +97,16 @@
 /// Finds out which back ends have crashed, and under which requests of this node.
 pub(super) struct CrashWatch {
     directory: watch::Receiver<Arc<Directory>>,
-    ended: EndedReceiver,
+    ended: EndedIncarnationsReceiver,
     state: Mutex<State>,
 }
 
 impl CrashWatch {
     /// A watch that knows of no losses.
-    pub(super) fn new(directory: watch::Receiver<Arc<Directory>>, ended: EndedReceiver) -> Self {
+    pub(super) fn new(
+        directory: watch::Receiver<Arc<Directory>>,
+        ended: EndedIncarnationsReceiver,
+    ) -> Self {
         Self {
             directory,
             ended,
@@ -113,7 +116,7 @@
 
     /// A request was lost while it may have been running at a back end.
     pub(super) fn note_lost(&self, back_end: &BackEnd, request: RequestDigest) -> Option<Look> {
-        if self.ended.borrow().end_of(&back_end.id) == Some(LifeEnd::Crashed) {
+        if self.ended.borrow().end_of(&back_end.id) == Some(IncarnationEnd::Crashed) {
             return Some(Look::Known(request));
         }
         if !self.takes_work(back_end) {
@@ -200,7 +203,7 @@
         state.forget_old(BootInstant::now());
         let has_crashed = |known: &Losses| {
             let end = ended.end_of(&known.back_end.id);
-            known.stage != Stage::Crashed && end == Some(LifeEnd::Crashed)
+            known.stage != Stage::Crashed && end == Some(IncarnationEnd::Crashed)
         };
         let crashed = state.losses.values().filter(|known| has_crashed(known));
         let crashed: Vec<BackEnd> = crashed.map(|known| known.back_end.clone()).collect();
--- a/crates/sloetrail-serving/src/quarantine/mod.rs
+++ b/crates/sloetrail-serving/src/quarantine/mod.rs
@@ -32,7 +32,7 @@
 use self::writer::Writer;
 use crate::back_end::BackEnd;
 use crate::directory::Directory;
-use crate::ended_lives::EndedReceiver;
+use crate::ended_incarnations::EndedIncarnationsReceiver;
 use crate::events::{self, Event};
 use crate::follow::{TakenIn, ViewReceiver};
 use crate::rows;
@@ -69,7 +69,7 @@
     pub(crate) fn start(
         settings: &ServingSettings,
         table: Arc<dyn Table>,
-        (directory, ended): (watch::Receiver<Arc<Directory>>, EndedReceiver),
+        (directory, ended): (watch::Receiver<Arc<Directory>>, EndedIncarnationsReceiver),
         leases: ViewReceiver,
     ) -> (Arc<Self>, TakenIn) {
         let (taken_in, taken_in_at) = watch::channel(leases.borrow().asked_at);
@@ -255,7 +255,10 @@
 
 /// Back ends that came back under their names before their addresses were looked at have crashed
 /// all the same.
-async fn follow_ended(quarantine: std::sync::Weak<Quarantine>, mut ended: EndedReceiver) {
+async fn follow_ended(
+    quarantine: std::sync::Weak<Quarantine>,
+    mut ended: EndedIncarnationsReceiver,
+) {
     while ended.changed().await.is_ok() {
         ended.mark_unchanged();
         let Some(quarantine) = quarantine.upgrade() else {
--- a/crates/sloetrail-serving/src/supervisor.rs
+++ b/crates/sloetrail-serving/src/supervisor.rs
@@ -2,7 +2,7 @@
 
 use crate::context::NodeContext;
 use crate::events::{self, Event};
-use crate::leases::{BatchSet, LeaseKeeper, LeaseSubject, TermWork};
+use crate::leases::{BatchSet, LeaseManager, LeaseResource, LeaseTask};
 use crate::owner::BatchesWork;
 use crate::usage::UsageWork;
 use sloetrail_routing::ServingConfiguration;
@@ -18,13 +18,13 @@
     usage: Option<UsageWork>,
     stopping: CancellationToken,
 ) {
-    let mut keepers: HashMap<LeaseSubject, JoinHandle<()>> = HashMap::new();
-    let start = |subject: LeaseSubject, work: Arc<dyn TermWork>| {
-        let keeper = LeaseKeeper::new(Arc::clone(&context), subject, work);
+    let mut keepers: HashMap<LeaseResource, JoinHandle<()>> = HashMap::new();
+    let start = |subject: LeaseResource, work: Arc<dyn LeaseTask>| {
+        let keeper = LeaseManager::new(Arc::clone(&context), subject, work);
         tokio::spawn(keeper.run(stopping.clone()))
     };
     if let Some(usage) = usage {
-        let subject = LeaseSubject::UsageReports;
+        let subject = LeaseResource::UsageReports;
         keepers.insert(subject.clone(), start(subject, Arc::new(usage)));
     }
     let mut in_force = context.in_force.clone();
@@ -42,7 +42,7 @@
             if !set.regions().allows(own_region) {
                 continue;
             }
-            let subject = LeaseSubject::Batches(set.clone());
+            let subject = LeaseResource::Batches(set.clone());
             keepers.entry(subject.clone()).or_insert_with(|| {
                 let context = Arc::clone(&context);
                 start(subject, Arc::new(BatchesWork { context, set }))
--- a/crates/sloetrail-serving/src/suspension_tests.rs
+++ b/crates/sloetrail-serving/src/suspension_tests.rs
@@ -2,7 +2,7 @@
 //! suspended, though the steady clock stood still; and no module uses the bare clock.
 
 use crate::follow::TableView;
-use crate::leases::{LeaseSubject, OrderWindow, Term};
+use crate::leases::{LeaseResource, OrderWindow, Term};
 use crate::operator::Evacuations;
 use crate::pause_guard::PauseGuard;
 use crate::table_clock::TableClock;
@@ -38,7 +38,7 @@
 fn a_lease_that_ran_out_meanwhile_is_not_confirmed() {
     let (_sender, confirmed_at) = watch::channel(BootInstant::now());
     let term = Term {
-        subject: LeaseSubject::UsageReports,
+        resource: LeaseResource::UsageReports,
         epoch: Epoch(1),
         fence: RowVersion(1),
         releasing: CancellationToken::new(),
--- a/crates/sloetrail-serving/src/usage/reporter.rs
+++ b/crates/sloetrail-serving/src/usage/reporter.rs
@@ -12,7 +12,7 @@
 use super::{NodeUsage, UsageRecipient};
 use crate::context::NodeContext;
 use crate::events::{self, Event};
-use crate::leases::{OrderWindow, Term, TermWork};
+use crate::leases::{LeaseTask, OrderWindow, Term};
 use crate::relay::peers::read_clock_leads;
 use crate::rows;
 use crate::table::{Commit, Page, Row, Transaction, read_row, scan_all};
@@ -52,7 +52,7 @@
     pub(crate) recipient: Arc<dyn UsageRecipient>,
 }
 
-impl TermWork for UsageWork {
+impl LeaseTask for UsageWork {
     fn run(&self, term: Term) -> BoxFuture<'static, ()> {
         let reporter = UsageReporter {
             schedule: self.usage.schedule(),
