--- a/crates/sloetrail-lease/src/lib.rs
+++ b/crates/sloetrail-lease/src/lib.rs
@@ -1,14 +1,13 @@
 //! Ownership leases with epochs.
 //!
-//! A resource has at most one owner at a time: the holder named in its lease
-//! record, a row of the platform's table. A holder renews the record; a
-//! candidate that has watched the same record for longer than the lease
-//! duration, on its own clock, writes itself in with the next epoch. No two
-//! clocks are ever compared.
+//! A resource has at most one owner: the holder named in its lease record, a row of the
+//! platform's table. The holder renews the record. A candidate that has seen the record
+//! unchanged for longer than the lease duration, on its own clock, takes the lease over under
+//! the next epoch. Clocks of different nodes are never compared.
 //!
-//! Invariant: the epoch of a record grows with each new holder. The lease alone
-//! never protects data. A holder that was frozen finds out by refusal, because
-//! each of its writes and orders carries its epoch.
+//! Invariant: each new holder has a higher epoch. The lease alone does not protect data: a
+//! holder that was suspended may still act as the owner. Each of its writes and orders
+//! therefore carries its epoch, and stale ones are refused.
 
 mod record;
 mod watcher;
--- a/crates/sloetrail-lease/src/record.rs
+++ b/crates/sloetrail-lease/src/record.rs
@@ -1,4 +1,4 @@
-//! The durable form of a lease.
+//! The stored form of a lease.
 
 use serde::{Deserialize, Serialize};
 use sloetrail_types::{Epoch, NodeId};
@@ -6,16 +6,16 @@
 /// The value of a lease row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// The holder, or nothing after a release.
+    /// None after a release.
     pub holder: Option<NodeId>,
-    /// Grows with each new holder.
+    /// Increases with each new holder.
     pub epoch: Epoch,
-    /// Grows with each renewal.
+    /// Increases with each renewal within an epoch.
     pub renewal: u64,
 }
 
 impl LeaseRecord {
-    /// The record of a new holder after `previous`.
+    /// Returns the record with which `holder` takes the lease over from `previous`.
     pub fn taken_by(holder: &NodeId, previous: Option<&LeaseRecord>) -> Self {
         let epoch = previous.map_or(Epoch(0), |record| record.epoch);
         Self {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The same term, renewed.
+    /// Returns this record with its renewal counter advanced.
     pub fn renewed(&self) -> Self {
         Self {
             renewal: self.renewal + 1,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The same term, given up.
+    /// Returns this record without a holder, under the same epoch.
     pub fn released(&self) -> Self {
         Self {
             holder: None,
--- a/crates/sloetrail-lease/src/tests.rs
+++ b/crates/sloetrail-lease/src/tests.rs
@@ -7,7 +7,7 @@
 const DURATION: Duration = Duration::from_millis(300);
 const NODES: usize = 3;
 
-/// The lease row, with the table's own conditional write.
+/// A lease row with the table's conditional write.
 #[derive(Clone, Debug, Default)]
 struct LeaseRow {
     version: u64,
@@ -34,14 +34,14 @@
 }
 
 #[test]
-fn a_released_lease_is_taken_at_once_and_an_unrenewed_one_after_its_duration() {
+fn released_lease_is_acquired_at_once_and_expired_one_after_its_duration() {
     let mut row = LeaseRow::default();
     let mut first = LeaseWatcher::new(NodeId::from("a"), DURATION);
     let mut second = LeaseWatcher::new(NodeId::from("b"), DURATION);
     first.observe(Timestamp(1_000), row.read());
     let action = first
         .next_action(Timestamp(1_000), 0)
-        .expect("absent row is taken");
+        .expect("absent row is acquired");
     assert!(row.write(&action));
     first.observe(Timestamp(1_000), row.read());
     assert_eq!(first.held_epoch(), Some(Epoch(1)));
@@ -54,7 +54,10 @@
     assert_eq!(second.held_epoch(), Some(Epoch(2)));
 
     let late_renewal = first.next_action(Timestamp(5_000), 0).expect("unaware");
-    assert!(!row.write(&late_renewal), "the frozen holder is refused");
+    assert!(
+        !row.write(&late_renewal),
+        "renewal by a replaced holder is refused"
+    );
 
     let release = second.release().expect("held");
     assert!(row.write(&release));
@@ -70,7 +73,7 @@
     Read(usize),
     Act(usize),
     Release(usize),
-    Pass(u64),
+    Advance(u64),
 }
 
 #[derive(Clone, Debug)]
@@ -89,7 +92,7 @@
             4 => (0..NODES).prop_map(Step::Read),
             4 => (0..NODES).prop_map(Step::Act),
             1 => (0..NODES).prop_map(Step::Release),
-            3 => (1u64..400).prop_map(Step::Pass),
+            3 => (1u64..400).prop_map(Step::Advance),
         ]
         .boxed()
     }
@@ -123,7 +126,7 @@
     fn apply(mut state: Self, (): &(), step: Step) -> Self {
         let now = Timestamp(state.now);
         match step {
-            Step::Pass(milliseconds) => state.now += milliseconds,
+            Step::Advance(milliseconds) => state.now += milliseconds,
             Step::Read(index) => state.watchers[index].observe(now, state.row.read()),
             Step::Act(index) => {
                 if let Some(action) = state.watchers[index].next_action(now, 0) {
@@ -141,21 +144,21 @@
 
     fn check_invariants(state: &Self, (): &()) {
         for pair in state.terms.windows(2) {
-            assert!(pair[0].0 < pair[1].0, "epochs grow with each holder");
+            assert!(pair[0].0 < pair[1].0, "epochs increase with each holder");
         }
     }
 }
 
 impl Leases {
     fn write(&mut self, index: usize, action: &LeaseAction) {
-        let holder_before = self.row.record.clone();
+        let record_before = self.row.record.clone();
         if !self.row.write(action) {
             return;
         }
         self.watchers[index].observe(Timestamp(self.now), self.row.read());
         let record = &action.record;
-        let new_term = holder_before.is_none_or(|before| before.epoch != record.epoch);
-        if let (true, Some(holder)) = (new_term, &record.holder) {
+        let is_new_term = record_before.is_none_or(|before| before.epoch != record.epoch);
+        if let (true, Some(holder)) = (is_new_term, &record.holder) {
             self.terms.push((record.epoch, holder.clone()));
         }
     }
@@ -170,5 +173,5 @@
         ..ProptestConfig::default()
     })]
     #[test]
-    fn epochs_grow_whatever_the_order_of_steps(sequential 1..60 => Leases);
+    fn epochs_increase_for_any_order_of_steps(sequential 1..60 => Leases);
 }
--- a/crates/sloetrail-lease/src/watcher.rs
+++ b/crates/sloetrail-lease/src/watcher.rs
@@ -1,4 +1,4 @@
-//! What one node does about one lease.
+//! Decides when one node acquires, renews and releases one lease.
 
 use crate::LeaseRecord;
 use sloetrail_types::{Epoch, NodeId, RowVersion, Timestamp};
@@ -6,126 +6,124 @@
 
 const RENEWALS_PER_DURATION: u32 = 3;
 
-/// A lease row as it was read.
+/// A lease row as read from the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObservedLease {
-    /// The row's version.
     pub version: RowVersion,
-    /// The row's value.
     pub record: LeaseRecord,
 }
 
-/// A conditional write that the watcher asks for.
+/// A conditional write requested by the watcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseAction {
-    /// The version that the row must have; nothing means absent.
+    /// The version that the row must have. None if the row must be absent.
     pub expected: Option<RowVersion>,
-    /// The record to write.
     pub record: LeaseRecord,
 }
 
-/// Watches one lease on behalf of one node.
+/// Tracks one lease on behalf of one node.
 #[derive(Debug)]
 pub struct LeaseWatcher {
     node: NodeId,
     duration: Duration,
-    seen: Option<ObservedLease>,
+    observed: Option<ObservedLease>,
     unchanged_since: Option<Timestamp>,
     renewed_at: Timestamp,
 }
 
 impl LeaseWatcher {
-    /// A watcher that has seen nothing yet.
+    /// Creates a watcher without any observation.
     pub fn new(node: NodeId, duration: Duration) -> Self {
         Self {
             node,
             duration,
-            seen: None,
+            observed: None,
             unchanged_since: None,
             renewed_at: Timestamp::default(),
         }
     }
 
-    /// Changes how long the lease lasts without a renewal. It decides only how soon a
-    /// lost holder is replaced: what a holder may write is decided by its epoch.
+    /// Sets how long the lease lasts without a renewal. The duration only decides how soon an
+    /// unresponsive holder is replaced; its epoch decides which of its writes are accepted.
     pub fn set_duration(&mut self, duration: Duration) {
         self.duration = duration;
     }
 
-    /// The epoch under which this node holds the lease, as far as it knows.
+    /// Returns the epoch under which this node holds the lease, according to the last
+    /// observation.
     pub fn held_epoch(&self) -> Option<Epoch> {
-        let record = &self.seen.as_ref()?.record;
+        let record = &self.observed.as_ref()?.record;
         (record.holder.as_ref() == Some(&self.node)).then_some(record.epoch)
     }
 
-    /// The holder, as far as this node knows.
+    /// Returns the holder according to the last observation.
     pub fn holder(&self) -> Option<&NodeId> {
-        self.seen.as_ref()?.record.holder.as_ref()
+        self.observed.as_ref()?.record.holder.as_ref()
     }
 
-    /// The holder and its epoch, as far as this node knows.
+    /// Returns the holder and its epoch according to the last observation.
     pub fn term(&self) -> Option<(&NodeId, Epoch)> {
-        let record = &self.seen.as_ref()?.record;
+        let record = &self.observed.as_ref()?.record;
         Some((record.holder.as_ref()?, record.epoch))
     }
 
-    /// Takes in the row as it was just read or written.
+    /// Records the row as just read or written.
     pub fn observe(&mut self, now: Timestamp, lease: Option<ObservedLease>) {
-        let changed = self.unchanged_since.is_none() || self.seen != lease;
+        let changed = self.unchanged_since.is_none() || self.observed != lease;
         if changed {
             self.unchanged_since = Some(now);
-            self.seen = lease;
+            self.observed = lease;
         }
     }
 
-    /// What to write now, if anything. `rank` is this node's place among the
-    /// candidates: later ones wait longer, so that they do not race.
+    /// Returns the write that is due now, if any. `rank` is this node's rank among the
+    /// candidates: higher ranks wait longer, so that candidates do not race.
     pub fn next_action(&mut self, now: Timestamp, rank: u32) -> Option<LeaseAction> {
         let unchanged_since = self.unchanged_since?;
-        let Some(seen) = &self.seen else {
+        let Some(observed) = &self.observed else {
             return self.take_over_after(now, unchanged_since, Duration::ZERO, rank);
         };
-        if seen.record.holder.as_ref() == Some(&self.node) {
+        if observed.record.holder.as_ref() == Some(&self.node) {
             return self.renewal(now);
         }
-        let wait = match seen.record.holder {
+        let wait = match observed.record.holder {
             None => Duration::ZERO,
             Some(_) => self.duration,
         };
         self.take_over_after(now, unchanged_since, wait, rank)
     }
 
-    /// The write that takes the lease over at once, whoever holds it: for a caller
-    /// that knows the holder to be gone. Nothing before the first observation.
+    /// Returns the write that takes the lease over regardless of its holder, for a caller that
+    /// knows the holder to be gone. None before the first observation.
     pub fn take_over(&self) -> Option<LeaseAction> {
         self.unchanged_since?;
         Some(self.take_over_action())
     }
 
-    /// The renewal that was last asked for was not done: the next one is due at once.
+    /// Records that the last requested renewal failed: the next one is due immediately.
     pub fn renewal_failed(&mut self) {
         self.renewed_at = Timestamp::default();
     }
 
-    /// The write that gives the lease up, if this node holds it.
+    /// Returns the write that releases the lease, if this node holds it.
     pub fn release(&self) -> Option<LeaseAction> {
-        let seen = self.seen.as_ref()?;
+        let observed = self.observed.as_ref()?;
         self.held_epoch()?;
         Some(LeaseAction {
-            expected: Some(seen.version),
-            record: seen.record.released(),
+            expected: Some(observed.version),
+            record: observed.record.released(),
         })
     }
 
     fn renewal(&mut self, now: Timestamp) -> Option<LeaseAction> {
-        let seen = self.seen.as_ref()?;
+        let observed = self.observed.as_ref()?;
         if now.since(self.renewed_at) < self.duration / RENEWALS_PER_DURATION {
             return None;
         }
         self.renewed_at = now;
         Some(LeaseAction {
-            expected: Some(seen.version),
-            record: seen.record.renewed(),
+            expected: Some(observed.version),
+            record: observed.record.renewed(),
         })
     }
 
@@ -144,7 +142,7 @@
     }
 
     fn take_over_action(&self) -> LeaseAction {
-        let previous = self.seen.as_ref();
+        let previous = self.observed.as_ref();
         LeaseAction {
             expected: previous.map(|lease| lease.version),
             record: LeaseRecord::taken_by(&self.node, previous.map(|lease| &lease.record)),
--- a/crates/sloetrail-serving/src/ended_incarnations.rs
+++ b/crates/sloetrail-serving/src/ended_incarnations.rs
@@ -1,8 +1,9 @@
-//! Lives of back ends after which another one began under the same name.
+//! Incarnations of back ends that have been replaced by a newer one under the same name.
 //!
-//! A back end that is listed anew under its name with another start has ended before, whatever
-//! else is said of the older life: its connections may have stayed silent, and its row, a held
-//! question or an answer may come late. What ran there is lost at once, without a time-out.
+//! A back end that is listed under the same name with a new start time has restarted. Its
+//! previous incarnation has ended even if connections to it are still open, or if its row or an
+//! answer arrives late. Work that ran there is reported as lost immediately, without waiting
+//! for a timeout.
 
 use crate::directory::Directory;
 use sloetrail_types::EngineId;
@@ -10,51 +11,50 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// Lives that are kept in mind. Rows and answers come late by seconds; a fleet of 890 engines that
-/// all restart once within them has as many.
-const KEPT_MOST: usize = 1_024;
+/// Enough for a restart of every engine of a large fleet, while late rows and answers may
+/// arrive.
+const MAX_RETAINED: usize = 1_024;
 
-/// How a life ended.
+/// How an incarnation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum IncarnationEnd {
-    /// It had said that it leaves.
+    /// It had announced that it leaves.
     Planned,
-    /// It had not.
     Crashed,
 }
 
-/// Lives after which another one began under the same name.
+/// The incarnations replaced most recently, and how each one ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct EndedIncarnations {
     ends: BTreeMap<EngineId, IncarnationEnd>,
-    /// The oldest first.
+    /// Oldest first.
     order: VecDeque<EngineId>,
 }
 
 impl EndedIncarnations {
-    /// Adds a life.
-    pub(crate) fn add(&mut self, life: EngineId, end: IncarnationEnd) {
-        if self.ends.insert(life.clone(), end).is_none() {
-            self.order.push_back(life);
+    /// Adds an incarnation, and removes the oldest one beyond the limit.
+    pub(crate) fn add(&mut self, incarnation: EngineId, end: IncarnationEnd) {
+        if self.ends.insert(incarnation.clone(), end).is_none() {
+            self.order.push_back(incarnation);
         }
-        if self.order.len() > KEPT_MOST
+        if self.order.len() > MAX_RETAINED
             && let Some(oldest) = self.order.pop_front()
         {
             self.ends.remove(&oldest);
         }
     }
 
-    /// How a life ended; nothing if no other one is known to have begun after it.
-    pub(crate) fn end_of(&self, life: &EngineId) -> Option<IncarnationEnd> {
-        self.ends.get(life).copied()
+    /// Returns how an incarnation ended. None if no newer one is known.
+    pub(crate) fn end_of(&self, incarnation: &EngineId) -> Option<IncarnationEnd> {
+        self.ends.get(incarnation).copied()
     }
 }
 
-/// The lives that have ended. It is told when there is one more: restarts are rare, and the
-/// directory itself changes with each sign of life.
+/// Changes only when an incarnation ends, unlike the directory, which changes with each
+/// heartbeat.
 pub(crate) type EndedIncarnationsReceiver = watch::Receiver<Arc<EndedIncarnations>>;
 
-/// Tells of lives that have ended until every receiver is gone.
+/// Publishes the directory's ended incarnations until every receiver is dropped.
 pub(crate) fn watch_ended_incarnations(
     mut directory: watch::Receiver<Arc<Directory>>,
 ) -> EndedIncarnationsReceiver {
@@ -66,9 +66,9 @@
                 () = sender.closed() => return,
             }
             let ended = Arc::clone(directory.borrow_and_update().ended());
-            sender.send_if_modified(|known| {
-                let has_changed = !Arc::ptr_eq(known, &ended);
-                *known = ended;
+            sender.send_if_modified(|current| {
+                let has_changed = !Arc::ptr_eq(current, &ended);
+                *current = ended;
                 has_changed
             });
         }
@@ -76,11 +76,12 @@
     receiver
 }
 
-/// Completes once another life is known to have begun after this one.
-pub(crate) async fn wait_until_ended(mut ended: EndedIncarnationsReceiver, life: &EngineId) {
-    let is_known = |lives: &Arc<EndedIncarnations>| lives.end_of(life).is_some();
+/// Completes once a newer incarnation of the same back end is known.
+pub(crate) async fn wait_until_ended(mut ended: EndedIncarnationsReceiver, incarnation: &EngineId) {
+    let is_known =
+        |incarnations: &Arc<EndedIncarnations>| incarnations.end_of(incarnation).is_some();
     if ended.wait_for(is_known).await.is_err() {
-        // The node stops; its requests end by themselves.
+        // The node is stopping; its requests end by other means.
         std::future::pending::<()>().await;
     }
 }
--- a/crates/sloetrail-serving/src/lease_holder.rs
+++ b/crates/sloetrail-serving/src/lease_holder.rs
@@ -1,12 +1,12 @@
-//! Who says something in the name of a lease.
+//! The identity of a lease holder in its orders and reports.
 
 use sloetrail_types::Epoch;
 
-/// The holder of a lease, as those are told to whom it gives orders or reports.
+/// The holder of a lease, as identified to the recipients of its orders and reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseHolder {
-    /// The node.
     pub node: String,
-    /// The epoch of its lease, which grows with each holder and fences earlier ones off.
+    /// The epoch of its lease. It increases with each holder, so that recipients can refuse
+    /// earlier ones.
     pub epoch: Epoch,
 }
--- a/crates/sloetrail-serving/src/leases/leased_sets.rs
+++ b/crates/sloetrail-serving/src/leases/leased_sets.rs
@@ -1,7 +1,7 @@
-//! Which sets of bound batches have had an owner, as the lease rows tell.
+//! The region-bound batch sets that have a lease row.
 //!
-//! Batches may be open that were accepted under a configuration which this node has not seen,
-//! or which is in force no more. Their sets have a lease all the same.
+//! Batches may still be open that were accepted under a configuration unknown to this node or
+//! no longer in force. Their sets are found through their leases.
 
 use super::BatchSet;
 use crate::follow::{TableView, ViewReceiver};
@@ -11,24 +11,23 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// Sets of bound batches that have, or had, an owner.
+/// Region-bound batch sets that have, or had, an owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LeasedSets(BTreeSet<BatchSet>);
 
 impl LeasedSets {
-    /// The sets whose leases a view of the lease rows holds.
+    /// Returns the sets that have a lease row in this view.
     pub(crate) fn from_view(leases: &TableView) -> Self {
         let subjects = leases.rows.keys();
         let subjects = subjects.filter_map(|key| rows::subject_of_lease(key));
         Self(subjects.filter_map(BatchSet::from_lease_name).collect())
     }
 
-    /// Each of them.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &BatchSet> {
         self.0.iter()
     }
 
-    /// The regions of those of a service.
+    /// Returns the regions of the sets of a service.
     pub(crate) fn regions_of(
         &self,
         service: &ServiceName,
@@ -38,8 +37,8 @@
     }
 }
 
-/// Keeps the sets in step with the lease rows until every receiver is gone. The rows change
-/// with each renewal; the sets hardly ever.
+/// Publishes the sets of the lease rows until every receiver is dropped. Receivers are notified
+/// only when the sets change, not on each renewal.
 pub(crate) fn watch_leased_sets(mut leases: ViewReceiver) -> watch::Receiver<Arc<LeasedSets>> {
     let first = LeasedSets::from_view(&leases.borrow_and_update());
     let (sender, receiver) = watch::channel(Arc::new(first));
@@ -50,10 +49,10 @@
                 () = sender.closed() => return,
             }
             let sets = LeasedSets::from_view(&leases.borrow_and_update());
-            sender.send_if_modified(|known| {
-                let has_changed = **known != sets;
+            sender.send_if_modified(|current| {
+                let has_changed = **current != sets;
                 if has_changed {
-                    *known = Arc::new(sets);
+                    *current = Arc::new(sets);
                 }
                 has_changed
             });
--- a/crates/sloetrail-serving/src/leases/leased_sets/tests.rs
+++ b/crates/sloetrail-serving/src/leases/leased_sets/tests.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// A view of the leases of these names, each with its fence.
-fn view(subjects: &[&str], version: u64) -> Arc<TableView> {
-    let addresses = subjects
+/// A view of the lease and fence rows of these resources.
+fn view(names: &[&str], version: u64) -> Arc<TableView> {
+    let addresses = names
         .iter()
         .flat_map(|resource| [rows::lease(resource), rows::fence(resource)]);
     let rows = addresses.map(|address| {
@@ -36,9 +36,9 @@
 }
 
 #[test]
-fn only_bound_sets_of_the_service_count() {
-    let subjects = ["models", "models@north", "others@south", "*usage-reports"];
-    let sets = LeasedSets::from_view(&view(&subjects, 1));
+fn regions_are_listed_for_bound_sets_of_the_service() {
+    let names = ["models", "models@north", "others@south", "*usage-reports"];
+    let sets = LeasedSets::from_view(&view(&names, 1));
     let models = ServiceName::from("models");
     let of_service = sets.regions_of(&models);
     assert_eq!(of_service.collect::<Vec<_>>(), [&north()]);
@@ -46,14 +46,14 @@
 }
 
 #[tokio::test]
-async fn a_new_set_is_told_and_a_renewal_is_not() {
+async fn new_set_is_published_but_renewal_is_not() {
     let (leases, leases_view) = watch::channel(view(&["models"], 1));
     let mut sets = watch_leased_sets(leases_view);
     leases.send_replace(view(&["models", "models@north"], 2));
-    sets.changed().await.expect("it is told");
+    sets.changed().await.expect("the new set is published");
     assert_eq!(sets.borrow_and_update().iter().count(), 1);
     leases.send_replace(view(&["models", "models@north"], 3));
     tokio::task::yield_now().await;
     tokio::task::yield_now().await;
-    assert!(!sets.has_changed().expect("it is kept up"));
+    assert!(!sets.has_changed().expect("the task is running"));
 }
--- a/crates/sloetrail-serving/src/leases/manager.rs
+++ b/crates/sloetrail-serving/src/leases/manager.rs
@@ -1,4 +1,4 @@
-//! Who holds a lease: one keeper a lease on every node.
+//! Competes for a lease, renews it and runs its task. Each node has one manager per lease.
 
 use super::owner_watch::{OwnerWatch, WatchedTerm};
 use super::{LeaseResource, LeaseTask, Term};
@@ -18,82 +18,80 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-const TICK: Duration = Duration::from_millis(100);
-/// How long the holder may take to put its work down.
-const RELEASE_TIME: Duration = Duration::from_millis(1_000);
-/// A lease outlasts this many ordinary answers of the table.
-const RENEWAL_ROUNDS: u32 = 8;
-const LEASE_MOST: Duration = Duration::from_secs(5);
-/// Confirmations that lie further apart than the wait, this and a few answers mean that
-/// the table did not answer meanwhile, though no call failed.
+const STEP_INTERVAL: Duration = Duration::from_millis(100);
+/// How long the task may take to stop when the lease is released.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Minimum lease duration, as a multiple of the table's usual response time.
+const LEASE_ANSWER_TIMES: u32 = 8;
+const MAX_LEASE_DURATION: Duration = Duration::from_secs(5);
+/// A longer gap between two confirmations, beyond the poll interval and some response times,
+/// means that the table did not answer even if no call failed.
 const CONFIRMATION_MARGIN: Duration = Duration::from_millis(700);
-const CONFIRMATION_ANSWERS: u32 = 4;
-const CANDIDATE_TURNS: u32 = 8;
-const CANDIDATE_DELAY_MOST: Duration = Duration::from_secs(2);
+const CONFIRMATION_ANSWER_TIMES: u32 = 4;
+const CANDIDATE_DELAY_STEPS: u32 = 8;
+const MAX_CANDIDATE_DELAY: Duration = Duration::from_secs(2);
 
-struct Holding {
+struct ActiveTerm {
     term: Term,
-    work: JoinHandle<()>,
-    /// Tells the holder when the table last confirmed the lease.
+    task: JoinHandle<()>,
+    /// When the table last confirmed the lease.
     confirmed_at: watch::Sender<BootInstant>,
-    /// Has the directory followed as closely as in a small fleet.
+    /// Keeps the directory's poll interval at its minimum.
     _owned: Option<OwnedService>,
 }
 
-/// Competes for one lease, and renews it while this node holds it.
 pub(crate) struct LeaseManager {
     context: Arc<NodeContext>,
     resource: LeaseResource,
-    work: Arc<dyn LeaseTask>,
+    task: Arc<dyn LeaseTask>,
     leases: ViewReceiver,
     origin: BootInstant,
     watcher: LeaseWatcher,
-    seen_version: Option<RowVersion>,
+    observed_version: Option<RowVersion>,
     unchanged_since: BootInstant,
     interruptions: u64,
-    /// When the view was confirmed that was looked at last.
+    /// When the last processed view was confirmed.
     confirmed_at: Option<BootInstant>,
-    /// This candidate's turn among those that see the lease run out.
-    candidate_turn: u32,
-    holding: Option<Holding>,
-    /// Watches over the holder while it is another node.
-    watch: OwnerWatch,
+    /// Random position of this candidate among those that see the lease expire.
+    candidate_delay_step: u32,
+    active_term: Option<ActiveTerm>,
+    /// Probes the holder while it is another node.
+    owner_watch: OwnerWatch,
 }
 
 impl LeaseManager {
-    /// A keeper that does not know who holds the lease. `work` is what this node does while
-    /// it holds it.
+    /// Creates a manager without any observation. `task` runs while this node holds the lease.
     pub(crate) fn new(
         context: Arc<NodeContext>,
         resource: LeaseResource,
-        work: Arc<dyn LeaseTask>,
+        task: Arc<dyn LeaseTask>,
     ) -> Self {
         let watcher = new_watcher(&context);
         Self {
             leases: context.leases.clone(),
             context,
             resource,
-            work,
+            task,
             origin: BootInstant::now(),
             watcher,
-            seen_version: None,
+            observed_version: None,
             unchanged_since: BootInstant::now(),
             interruptions: 0,
             confirmed_at: None,
-            candidate_turn: 0,
-            holding: None,
-            watch: OwnerWatch::default(),
+            candidate_delay_step: 0,
+            active_term: None,
+            owner_watch: OwnerWatch::default(),
         }
     }
 
-    /// Keeps the lease until the node stops, and then gives it up.
+    /// Runs until the node stops, and then releases the lease.
     pub(crate) async fn run(mut self, stopping: CancellationToken) {
         while !stopping.is_cancelled() {
             self.step().await;
-            let can_hear = self.holding.is_none();
+            let is_candidate = self.active_term.is_none();
             tokio::select! {
-                () = tokio::time::sleep(TICK) => {}
-                Ok(()) = self.leases.changed(), if can_hear => {}
+                () = tokio::time::sleep(STEP_INTERVAL) => {}
+                Ok(()) = self.leases.changed(), if is_candidate => {}
                 () = stopping.cancelled() => {}
             }
         }
@@ -104,17 +102,17 @@
         let view = self.leases.borrow_and_update().clone();
         self.watcher.set_duration(self.lease_duration());
         self.observe_view(&view);
-        self.check_holding();
-        let now = match self.holding {
+        self.check_active_term();
+        let now = match self.active_term {
             Some(_) => self.timestamp(BootInstant::now()),
-            // For a candidate time passes as the table confirms the view.
+            // A candidate's time advances only as the table confirms the view.
             None => match view.confirmed_at {
                 Some(confirmed_at) => self.timestamp(confirmed_at),
                 None => return,
             },
         };
-        let succeeds = self.succeeds_own_machine();
-        let action = match succeeds.or_else(|| self.succeeds_gone_holder()) {
+        let own_lease = self.take_over_from_own_node();
+        let action = match own_lease.or_else(|| self.take_over_from_gone_holder()) {
             Some(action) => Some(action),
             None => self
                 .watcher
@@ -123,66 +121,66 @@
         let Some(action) = action else {
             return;
         };
-        match self.holding.is_some() {
+        match self.active_term.is_some() {
             true => self.renew(action).await,
             false => self.take_over(action, &view).await,
         }
     }
 
-    /// How long the lease lasts: longer than set while the table is slow, since each
-    /// renewal then takes a good part of a second and is seen late.
+    /// Returns how long the lease lasts without a renewal. It is extended while the table is
+    /// slow, since renewals then take longer to commit and to be seen.
     fn lease_duration(&self) -> Duration {
-        let set = self.context.settings.bounds.lease;
-        let slow = self.context.table.ordinary_time() * RENEWAL_ROUNDS;
-        let lasts = slow.clamp(set, set.max(LEASE_MOST));
-        match self.holding.is_some() {
-            true => lasts,
-            false => lasts + self.candidate_delay(),
+        let configured = self.context.settings.bounds.lease;
+        let adapted = self.context.table.ordinary_time() * LEASE_ANSWER_TIMES;
+        let duration = adapted.clamp(configured, configured.max(MAX_LEASE_DURATION));
+        match self.active_term.is_some() {
+            true => duration,
+            false => duration + self.candidate_delay(),
         }
     }
 
-    /// What this candidate waits on top, so that the others see its take-over in time
-    /// and do not queue up with theirs.
+    /// Returns an extra wait for this candidate, so that others see its take-over before they
+    /// attempt theirs.
     fn candidate_delay(&self) -> Duration {
-        let round = self.context.table.ordinary_time() * 2;
-        (round * self.candidate_turn).min(CANDIDATE_DELAY_MOST)
+        let round_trip = self.context.table.ordinary_time() * 2;
+        (round_trip * self.candidate_delay_step).min(MAX_CANDIDATE_DELAY)
     }
 
-    /// Takes in the lease row. After an interruption the time for which it was
-    /// unchanged counts anew: nobody could renew it meanwhile.
+    /// Applies the lease row. After an interruption the expiry restarts, since the holder could
+    /// not renew the lease meanwhile either.
     fn observe_view(&mut self, view: &TableView) {
         let Some(confirmed_at) = view.confirmed_at else {
             return;
         };
         let last = self.confirmed_at.replace(confirmed_at);
-        let was_silent = last.is_some_and(|last| {
+        let has_missed_confirmations = last.is_some_and(|last| {
             confirmed_at.saturating_duration_since(last) > self.confirmation_gap()
         });
-        let was_interrupted = was_silent || view.interruptions != self.interruptions;
-        if was_interrupted && self.holding.is_none() {
+        let was_interrupted = has_missed_confirmations || view.interruptions != self.interruptions;
+        if was_interrupted && self.active_term.is_none() {
             self.interruptions = view.interruptions;
-            self.count_anew();
+            self.restart_expiry();
         }
         let row = view.rows.get(&rows::lease(self.resource.name()).key);
         let version = row.map(|row| row.version);
-        if version < self.seen_version {
+        if version < self.observed_version {
             return;
         }
         self.observe_row(row, confirmed_at);
     }
 
-    /// The time between two confirmations of a view that is kept up.
+    /// Returns the maximum time between two confirmations while the table answers.
     fn confirmation_gap(&self) -> Duration {
-        let answers = self.context.table.ordinary_time() * CONFIRMATION_ANSWERS;
+        let answers = self.context.table.ordinary_time() * CONFIRMATION_ANSWER_TIMES;
         self.context.lease_pace.round() + CONFIRMATION_MARGIN + answers
     }
 
     fn observe_row(&mut self, row: Option<&Row>, at: BootInstant) {
         let version = row.map(|row| row.version);
-        if version != self.seen_version {
-            self.seen_version = version;
+        if version != self.observed_version {
+            self.observed_version = version;
             self.unchanged_since = at;
-            self.candidate_turn = rand::rng().random_range(0..CANDIDATE_TURNS);
+            self.candidate_delay_step = rand::rng().random_range(0..CANDIDATE_DELAY_STEPS);
         }
         let lease = row.and_then(|row| {
             let record = serde_json::from_slice(&row.value).ok()?;
@@ -193,48 +191,49 @@
         self.watcher.observe(at, lease);
     }
 
-    /// Ends the term if another holder has been seen, or the owner has found out.
-    fn check_holding(&mut self) {
-        let Some(holding) = &self.holding else {
+    /// Ends the term if another holder has been observed, or if the task has ended it after a
+    /// fenced write.
+    fn check_active_term(&mut self) {
+        let Some(active_term) = &self.active_term else {
             return;
         };
-        let is_own_epoch = self.watcher.held_epoch() == Some(holding.term.epoch);
-        if is_own_epoch && !holding.term.ended.is_cancelled() {
+        let is_own_epoch = self.watcher.held_epoch() == Some(active_term.term.epoch);
+        if is_own_epoch && !active_term.term.ended.is_cancelled() {
             return;
         }
         let cause = match is_own_epoch {
             true => "a write was fenced off",
             false => "another holder is in the lease row",
         };
-        self.end_holding(cause);
+        self.end_active_term(cause);
     }
 
-    fn end_holding(&mut self, cause: &str) {
-        if let Some(holding) = self.holding.take() {
-            holding.term.ended.cancel();
+    fn end_active_term(&mut self, cause: &str) {
+        if let Some(active_term) = self.active_term.take() {
+            active_term.term.ended.cancel();
             telemetry::lease_held(self.resource.name(), 0);
             events::emit(&Event::LeaseLost {
                 service: self.resource.name(),
-                epoch: holding.term.epoch.0,
+                epoch: active_term.term.epoch.0,
                 cause,
             });
         }
     }
 
-    /// A lease in the name of this node without a term need not run out: it is of
-    /// a previous life, or of a take-over whose answer was lost.
-    fn succeeds_own_machine(&self) -> Option<LeaseAction> {
-        if self.holding.is_some() {
+    /// Takes over a lease that is held by this node without an active term. It belongs to an
+    /// earlier incarnation, or to a take-over whose answer was lost.
+    fn take_over_from_own_node(&self) -> Option<LeaseAction> {
+        if self.active_term.is_some() {
             return None;
         }
         let holder = self.watcher.holder()?;
-        let is_own = self.context.settings.is_own_machine(holder);
-        is_own.then(|| self.watcher.take_over()).flatten()
+        let is_own_node = self.context.settings.is_own_machine(holder);
+        is_own_node.then(|| self.watcher.take_over()).flatten()
     }
 
-    /// The lease of a holder that its watchers found gone need not run out either.
-    fn succeeds_gone_holder(&mut self) -> Option<LeaseAction> {
-        let watched = match self.holding {
+    /// Takes over a lease whose holder was found to be gone, without waiting for its expiry.
+    fn take_over_from_gone_holder(&mut self) -> Option<LeaseAction> {
+        let watched = match self.active_term {
             Some(_) => None,
             None => self.watcher.term().map(|(holder, epoch)| WatchedTerm {
                 holder: holder.clone(),
@@ -242,7 +241,9 @@
             }),
         };
         let regions = self.resource.regions();
-        let is_gone = self.watch.finds_gone(&self.context, watched, &regions);
+        let is_gone = self
+            .owner_watch
+            .is_holder_gone(&self.context, watched, &regions);
         is_gone.then(|| self.watcher.take_over()).flatten()
     }
 
@@ -250,13 +251,13 @@
         let transaction = write_lease(&self.resource, &action);
         match self.context.table.commit(&transaction).await {
             Ok(Commit::Done(version)) => {
-                self.note_own_write(version, action.record);
-                if let Some(holding) = &self.holding {
-                    holding.confirmed_at.send_replace(BootInstant::now());
+                self.record_own_write(version, action.record);
+                if let Some(active_term) = &self.active_term {
+                    active_term.confirmed_at.send_replace(BootInstant::now());
                 }
             }
-            Ok(Commit::Conflict(rows)) => self.note_conflict(&rows),
-            // Candidates would be sooner if it waited for its usual time.
+            Ok(Commit::Conflict(rows)) => self.record_conflict(&rows),
+            // A retry at the usual interval would come after other candidates have taken over.
             Err(_) => self.watcher.renewal_failed(),
         }
     }
@@ -273,7 +274,7 @@
         let commit = self.context.table.commit(&transaction).await;
         match commit {
             Ok(Commit::Done(version)) => {
-                self.note_own_write(version, action.record);
+                self.record_own_write(version, action.record);
                 events::emit(&Event::LeaseTaken {
                     service: self.resource.name(),
                     epoch: epoch.0,
@@ -283,18 +284,18 @@
                 telemetry::lease_held(self.resource.name(), epoch.0);
                 self.begin_term(epoch, version);
             }
-            Ok(Commit::Conflict(rows)) => self.note_conflict(&rows),
-            // If it was done all the same, the row will name this node, which then
-            // takes over again under the next epoch. If not, the holder could not write
-            // either, and its time counts anew.
-            Err(_) => self.count_anew(),
+            Ok(Commit::Conflict(rows)) => self.record_conflict(&rows),
+            // If the write took effect, the row names this node, which then takes over again
+            // under the next epoch. If not, the holder could not renew the lease either, so the
+            // expiry restarts.
+            Err(_) => self.restart_expiry(),
         }
     }
 
-    /// The time for which the lease was unchanged counts anew.
-    fn count_anew(&mut self) {
+    /// Forgets the observed lease, so that its expiry is counted from the next observation.
+    fn restart_expiry(&mut self) {
         self.watcher = new_watcher(&self.context);
-        self.seen_version = None;
+        self.observed_version = None;
         self.unchanged_since = BootInstant::now();
     }
 
@@ -308,50 +309,50 @@
             ended: CancellationToken::new(),
             confirmed_at,
         };
-        let work = tokio::spawn(self.work.run(term.clone()));
-        let waits = self.work.uses_min_poll_interval();
-        self.holding = Some(Holding {
+        let task = tokio::spawn(self.task.run(term.clone()));
+        let uses_min_interval = self.task.uses_min_poll_interval();
+        self.active_term = Some(ActiveTerm {
             term,
-            work,
+            task,
             confirmed_at: sender,
-            _owned: waits.then(|| self.context.fleet.own_service()),
+            _owned: uses_min_interval.then(|| self.context.fleet.own_service()),
         });
     }
 
-    fn note_own_write(&mut self, version: RowVersion, record: LeaseRecord) {
-        self.seen_version = Some(version);
+    fn record_own_write(&mut self, version: RowVersion, record: LeaseRecord) {
+        self.observed_version = Some(version);
         self.unchanged_since = BootInstant::now();
         let now = self.timestamp(BootInstant::now());
         self.watcher
             .observe(now, Some(ObservedLease { version, record }));
     }
 
-    fn note_conflict(&mut self, current: &[Row]) {
-        // Whoever wrote the row lives.
-        self.watch.stop();
+    fn record_conflict(&mut self, current: &[Row]) {
+        // The writer of the row is alive.
+        self.owner_watch.stop();
         let address = rows::lease(self.resource.name());
         let row = current.iter().find(|row| row.address == address);
         self.observe_row(row, BootInstant::now());
-        self.check_holding();
+        self.check_active_term();
     }
 
-    /// Gives the lease up, so that another node need not wait for it to run out.
+    /// Releases the lease, so that another node can acquire it before it expires.
     async fn release(&mut self) {
-        let Some(holding) = self.holding.take() else {
+        let Some(active_term) = self.active_term.take() else {
             return;
         };
-        holding.term.releasing.cancel();
-        // Work that cannot be put down in time is left as it is.
-        let _ = tokio::time::timeout(RELEASE_TIME, holding.work).await;
-        holding.term.ended.cancel();
+        active_term.term.releasing.cancel();
+        // A task that does not stop in time is abandoned.
+        let _ = tokio::time::timeout(RELEASE_TIMEOUT, active_term.task).await;
+        active_term.term.ended.cancel();
         if let Some(action) = self.watcher.release() {
             let transaction = write_lease(&self.resource, &action);
-            // Without an answer the lease runs out by itself.
+            // If this write fails, the lease expires.
             let _ = self.context.table.commit(&transaction).await;
         }
         events::emit(&Event::LeaseLost {
             service: self.resource.name(),
-            epoch: holding.term.epoch.0,
+            epoch: active_term.term.epoch.0,
             cause: "the node stops",
         });
     }
--- a/crates/sloetrail-serving/src/leases/mod.rs
+++ b/crates/sloetrail-serving/src/leases/mod.rs
@@ -1,11 +1,11 @@
-//! Leases: work that one node at a time may do.
+//! Leases for tasks that only one node at a time may run.
 //!
-//! Each node has a [`manager`] for each [`LeaseResource`], which follows the lease's row,
-//! competes for the lease when its holder is gone and renews it while it holds it. The
-//! holder runs a [`LeaseTask`] for one [`Term`]. Every write of a term is conditional on the
-//! fence row that the term's first transaction wrote; what a holder sends to others, who
-//! do not look at the fence, it sends within windows that were committed before
-//! ([`order_window`]). A few nodes watch over each holder ([`owner_watch`]).
+//! Each node runs a [`manager`] for each [`LeaseResource`]. It follows the lease row, competes
+//! for the lease when the holder is gone, and renews it while this node holds it. The holder
+//! runs a [`LeaseTask`] for one [`Term`]. Every write of a term is conditional on the fence row
+//! written by the term's first transaction. Recipients of orders do not check the fence, so
+//! orders are sent only within windows committed beforehand ([`order_window`]). A few nodes
+//! probe each holder ([`owner_watch`]).
 
 mod leased_sets;
 mod manager;
--- a/crates/sloetrail-serving/src/leases/order_window.rs
+++ b/crates/sloetrail-serving/src/leases/order_window.rs
@@ -1,11 +1,11 @@
-//! When the holder of a lease may give orders, to engines or to others who do as it says.
+//! The window within which the holder of a lease may give orders.
 //!
-//! Who takes orders does not compare fences, and two holders must not take turns. So a holder
-//! commits a window before it gives orders, and gives them only while the window is
-//! open by its own clock, counted from before the commit. A new holder reads the
-//! window of the one before and waits until it is over, by the table's clock, and
-//! the gap that must lie between two owners has passed. Where the last owner gave
-//! no orders lately there is nothing to wait for.
+//! Recipients of orders do not compare fences, so the orders of two holders must not overlap. A
+//! holder commits a window before it gives orders, and gives them only while the window is open
+//! on its own clock, counted from before the commit. A new holder reads the window of its
+//! predecessor and waits until the window has ended on the table's clock and the configured gap
+//! between two owners has passed. It does not wait if the predecessor's window ended long
+//! enough ago.
 
 use super::Term;
 use crate::context::NodeContext;
@@ -16,20 +16,19 @@
 use std::time::Duration;
 
 const WINDOW: Duration = Duration::from_millis(500);
-/// A window is longer by this many times what the last one took to commit: of a shorter
-/// one nothing would be left once it is committed.
-const COMMIT_TIMES: u32 = 2;
-const WINDOW_MOST: Duration = Duration::from_secs(5);
-/// The table's clock is known to within less than this.
+/// A window is extended by this multiple of the last commit time, so that enough of it remains
+/// after the commit.
+const COMMIT_TIME_FACTOR: u32 = 2;
+const MAX_WINDOW: Duration = Duration::from_secs(5);
+/// Upper bound of the error of the table's estimated clock.
 const CLOCK_MARGIN: Duration = Duration::from_millis(100);
-/// An order is not begun with less of the window left than this.
-const LEFT_LEAST: Duration = Duration::from_millis(150);
+/// Minimum time left in the window to start an order.
+const MIN_REMAINING: Duration = Duration::from_millis(150);
 
 #[derive(Debug, Serialize, Deserialize)]
 struct StoredWindow {
-    /// The node that may give orders.
     node: String,
-    /// Until when, in milliseconds of the table's clock.
+    /// End of the window in milliseconds of the table's clock.
     until_ms: u64,
 }
 
@@ -37,14 +36,15 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OrderWindow {
     open_until: Option<BootInstant>,
-    /// When the gap after the last owner's window has passed, by the table's clock.
+    /// When the gap after the predecessor's window has passed, on the table's clock. None until
+    /// it has been read.
     not_before_ms: Option<u64>,
-    /// How long the last commit of a window took.
+    /// Duration of the last commit of a window.
     commit_time: Duration,
 }
 
 impl OrderWindow {
-    /// A window that is open for so long.
+    /// Creates a window that stays open for this time.
     #[cfg(test)]
     pub(crate) fn open_for(time: Duration) -> Self {
         Self {
@@ -53,13 +53,14 @@
         }
     }
 
-    /// True if an order may be given now, and be on its way before the window ends.
+    /// Returns whether an order can still be given and sent before the window ends.
     pub(crate) fn is_open(&self) -> bool {
-        let latest = BootInstant::now() + LEFT_LEAST;
+        let latest = BootInstant::now() + MIN_REMAINING;
         self.open_until.is_some_and(|until| latest < until)
     }
 
-    /// Opens a window, or prolongs it, if it may be open by now.
+    /// Opens or extends the window, unless the gap after the predecessor's window has not
+    /// passed yet.
     pub(crate) async fn open(&mut self, context: &NodeContext, term: &Term) {
         let Some(now_ms) = context.table.now_ms() else {
             return;
@@ -67,8 +68,8 @@
         if !self.is_past_gap(context, term, now_ms).await {
             return;
         }
-        let began = BootInstant::now();
-        let length = (WINDOW + self.commit_time * COMMIT_TIMES).min(WINDOW_MOST);
+        let started_at = BootInstant::now();
+        let length = (WINDOW + self.commit_time * COMMIT_TIME_FACTOR).min(MAX_WINDOW);
         let window = StoredWindow {
             node: context.settings.node.clone(),
             until_ms: now_ms + (length + CLOCK_MARGIN).as_millis() as u64,
@@ -77,11 +78,11 @@
         let address = rows::order_window(term.resource.name());
         let transaction = term.transaction().put(address, value);
         let commit = context.table.commit(&transaction).await;
-        self.commit_time = began.elapsed();
+        self.commit_time = started_at.elapsed();
         match commit {
-            Ok(Commit::Done(_)) => self.open_until = Some(began + length),
+            Ok(Commit::Done(_)) => self.open_until = Some(started_at + length),
             Ok(Commit::Conflict(_)) => term.ended.cancel(),
-            // It may be done later, which only makes a successor wait longer.
+            // The write may still take effect, which only makes a successor wait longer.
             Err(_) => {}
         }
     }
@@ -95,7 +96,8 @@
     }
 }
 
-/// From when on this term's owner may give orders; nothing if it cannot be read.
+/// Returns when this term's owner may start to give orders, on the table's clock. None if the
+/// predecessor's window cannot be read.
 async fn not_before_ms(context: &NodeContext, term: &Term) -> Option<u64> {
     let table: &dyn Table = &*context.table;
     let row = read_row(table, &rows::order_window(term.resource.name()))
--- a/crates/sloetrail-serving/src/leases/owner_watch.rs
+++ b/crates/sloetrail-serving/src/leases/owner_watch.rs
@@ -1,8 +1,8 @@
-//! Watching over the holder of a lease from another node.
+//! Probes the holder of a lease from another node.
 
 use crate::context::NodeContext;
 use crate::events::{self, Event};
-use crate::relay::liveness::{Liveness, Verdict};
+use crate::relay::liveness::{Liveness, LivenessDecision};
 use crate::relay::peers::Peers;
 use crate::relay::probe::ProbeOutcome;
 use sloetrail_clock::BootInstant;
@@ -11,33 +11,30 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// The time between two probes.
-const PERIOD: Duration = Duration::from_millis(100);
-/// How often a node that does not watch sees whether it should: the other nodes may
-/// not have been known before.
-const CHOOSING_PERIOD: Duration = Duration::from_secs(2);
-/// A probe that took longer was slept through, and says nothing of the holder.
-const PROBE_TIME_MOST: Duration = Duration::from_millis(600);
+const PROBE_INTERVAL: Duration = Duration::from_millis(100);
+/// How often a node that is not a watcher checks whether it should be: it may not have known
+/// all nodes before.
+const SELECTION_INTERVAL: Duration = Duration::from_secs(2);
+/// A probe that took longer was delayed by this node itself, so its result is ignored.
+const MAX_PROBE_TIME: Duration = Duration::from_millis(600);
 
-/// The holder of a lease, for one term.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct WatchedTerm {
     pub(super) holder: NodeId,
     pub(super) epoch: Epoch,
 }
 
-/// A watch over the holder of a lease.
 #[derive(Default)]
 pub(super) struct OwnerWatch {
     term: Option<WatchedTerm>,
-    watching: Option<JoinHandle<()>>,
-    chosen_at: Option<BootInstant>,
+    watch_task: Option<JoinHandle<()>>,
+    selected_at: Option<BootInstant>,
 }
 
 impl OwnerWatch {
-    /// Watches over the holder of a term, or over nobody, if this node is among the few of
-    /// these regions that should. True once it is found gone.
-    pub(super) fn finds_gone(
+    /// Starts or continues to probe the holder of `term` if this node is one of its watchers.
+    /// Returns true once the holder was found to be gone.
+    pub(super) fn is_holder_gone(
         &mut self,
         context: &NodeContext,
         term: Option<WatchedTerm>,
@@ -47,24 +44,26 @@
             self.stop();
             self.term = term;
         }
-        if self.watching.is_none() && self.is_time_to_choose() {
-            self.chosen_at = Some(BootInstant::now());
+        if self.watch_task.is_none() && self.is_selection_due() {
+            self.selected_at = Some(BootInstant::now());
             let term = self.term.as_ref();
-            self.watching = term.and_then(|term| begin(context, term, regions));
+            self.watch_task = term.and_then(|term| start_watch(context, term, regions));
         }
-        self.watching.as_ref().is_some_and(JoinHandle::is_finished)
+        self.watch_task
+            .as_ref()
+            .is_some_and(JoinHandle::is_finished)
     }
 
-    fn is_time_to_choose(&self) -> bool {
-        let chosen_at = self.chosen_at;
-        chosen_at.is_none_or(|at| at.elapsed() >= CHOOSING_PERIOD)
+    fn is_selection_due(&self) -> bool {
+        let selected_at = self.selected_at;
+        selected_at.is_none_or(|at| at.elapsed() >= SELECTION_INTERVAL)
     }
 
-    /// Ends the watch; the next one begins from nothing.
+    /// Stops probing and discards the result.
     pub(super) fn stop(&mut self) {
-        self.chosen_at = None;
-        if let Some(watching) = self.watching.take() {
-            watching.abort();
+        self.selected_at = None;
+        if let Some(watch_task) = self.watch_task.take() {
+            watch_task.abort();
         }
     }
 }
@@ -75,44 +74,44 @@
     }
 }
 
-/// Begins to watch, if this node is among those that should.
-fn begin(
+/// Starts the probe task if this node is a watcher of the holder.
+fn start_watch(
     context: &NodeContext,
     term: &WatchedTerm,
     regions: &AllowedRegions,
 ) -> Option<JoinHandle<()>> {
     let peers = context.peers.as_ref()?;
-    let is_on = context.settings.policies.watch_owners;
-    let should = is_on && peers.watches_over(&term.holder, term.epoch, regions);
-    should.then(|| tokio::spawn(watch(Arc::clone(peers), term.holder.clone())))
+    let is_enabled = context.settings.policies.watch_owners;
+    let is_watcher = is_enabled && peers.is_watcher_of(&term.holder, term.epoch, regions);
+    is_watcher.then(|| tokio::spawn(probe_until_gone(Arc::clone(peers), term.holder.clone())))
 }
 
-/// Probes the holder until it is found gone.
-async fn watch(peers: Arc<Peers>, holder: NodeId) {
+/// Probes the holder until it is found to be gone.
+async fn probe_until_gone(peers: Arc<Peers>, holder: NodeId) {
     let mut liveness = Liveness::default();
     let mut alive_at = BootInstant::now();
     loop {
-        tokio::time::sleep(PERIOD).await;
-        let began = BootInstant::now();
-        let seen = peers.probe_life(&holder).await;
-        let outcome = match began.elapsed() > PROBE_TIME_MOST {
+        tokio::time::sleep(PROBE_INTERVAL).await;
+        let started_at = BootInstant::now();
+        let result = peers.probe_incarnation(&holder).await;
+        let outcome = match started_at.elapsed() > MAX_PROBE_TIME {
             true => ProbeOutcome::Alive,
-            false => seen,
+            false => result,
         };
         if outcome == ProbeOutcome::Alive {
             alive_at = BootInstant::now();
         }
-        let verdict = match liveness.note(outcome) {
-            Verdict::AskAnother => {
-                let seen = peers.probe_through_another(&holder).await;
-                liveness.note_other(seen)
+        let decision = match liveness.record(outcome) {
+            LivenessDecision::AskPeer => {
+                let result = peers.probe_through_peer(&holder).await;
+                liveness.record_peer_result(result)
             }
-            verdict => verdict,
+            decision => decision,
         };
-        if verdict == Verdict::Compete {
+        if decision == LivenessDecision::Compete {
             events::emit(&Event::OwnerFoundGone {
                 holder: holder.as_str(),
-                seen: outcome.word(),
+                seen: outcome.as_str(),
                 silent_ms: alive_at.elapsed().as_millis() as u64,
             });
             return;
--- a/crates/sloetrail-serving/src/leases/resource.rs
+++ b/crates/sloetrail-serving/src/leases/resource.rs
@@ -1,22 +1,22 @@
-//! What a lease is for.
+//! The resources that leases protect.
 
 use super::Term;
 use futures_util::future::BoxFuture;
 use sloetrail_batch::BatchHeader;
 use sloetrail_types::{AllowedRegions, RegionName, ServiceName};
 
-/// What a lease is for.
+/// A resource owned by one node at a time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum LeaseResource {
-    /// Batches of a service.
+    /// The batches of one set.
     Batches(BatchSet),
-    /// The reports of what tenants use.
+    /// The reports of tenants' usage.
     UsageReports,
 }
 
 impl LeaseResource {
-    /// The name in the keys of rows, in log lines and in metrics. No service has a name
-    /// that begins with a star.
+    /// Returns the name used in row keys, log lines and metrics. No service name starts with a
+    /// star.
     pub(crate) fn name(&self) -> &str {
         match self {
             LeaseResource::Batches(set) => &set.name,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The regions whose nodes compete for the lease.
+    /// Returns the regions whose nodes compete for the lease.
     pub(crate) fn regions(&self) -> AllowedRegions {
         match self {
             LeaseResource::Batches(set) => set.regions.clone(),
@@ -35,8 +35,8 @@
 
 /// The batches of a service that are bound to the same regions.
 ///
-/// Invariant: the name follows from the service and the regions. It is the service's for
-/// the batches that may be anywhere; no name of a service or region holds an `@` or a `+`.
+/// Invariant: the name is derived from the service and the regions. It is the service's name
+/// for batches without a region bound. No name of a service or region contains `@` or `+`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct BatchSet {
     service: ServiceName,
@@ -45,7 +45,6 @@
 }
 
 impl BatchSet {
-    /// The batches of a service that are bound to these regions.
     pub(crate) fn new(service: ServiceName, regions: AllowedRegions) -> Self {
         let name = match regions.is_everywhere() {
             true => service.to_string(),
@@ -58,43 +57,42 @@
         }
     }
 
-    /// The batches that a lease of this name is for; nothing unless they are bound.
+    /// Parses the name of a lease of region-bound batches. None if the name has no regions.
     pub(crate) fn from_lease_name(name: &str) -> Option<Self> {
         let (service, regions) = name.split_once('@')?;
         let regions = AllowedRegions::only(regions.split('+').map(RegionName::from));
         Some(Self::new(ServiceName::from(service), regions))
     }
 
-    /// True if a batch is one of them.
+    /// Returns whether a batch belongs to this set.
     pub(crate) fn holds(&self, header: &BatchHeader) -> bool {
         header.service == self.service && header.allowed_regions == self.regions
     }
 
-    /// The service that runs them.
     pub(crate) fn service(&self) -> &ServiceName {
         &self.service
     }
 
-    /// The regions in which they may be kept and run.
+    /// The regions in which the batches may be stored and run.
     pub(crate) fn regions(&self) -> &AllowedRegions {
         &self.regions
     }
 
-    /// True for the batches that may be anywhere. Their owner alone is in charge of the
-    /// engines: it orders weights and numbers.
+    /// Returns whether the owner of this set controls the engines: their weight versions and
+    /// their number. Only the owner of the unbound set does.
     pub(crate) fn controls_engine_count(&self) -> bool {
         self.regions.is_everywhere()
     }
 }
 
-/// What the holder of a lease does.
+/// A task that the holder of a lease runs.
 pub(crate) trait LeaseTask: Send + Sync {
-    /// Works until the term is over, or puts the work down in an orderly way when it is
-    /// told to.
+    /// Runs until the term has ended, or stops in an orderly way when the term is being
+    /// released.
     fn run(&self, term: Term) -> BoxFuture<'static, ()>;
 
-    /// True if the work waits for news of back ends, which the directory is then asked
-    /// for as often as in a small fleet.
+    /// Returns whether the task depends on prompt updates of back ends, so that the directory
+    /// is polled at its minimum interval.
     fn uses_min_poll_interval(&self) -> bool {
         false
     }
--- a/crates/sloetrail-serving/src/leases/resource/tests.rs
+++ b/crates/sloetrail-serving/src/leases/resource/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn batches_that_may_be_anywhere_have_the_lease_of_the_service_and_others_their_own() {
+fn lease_name_is_derived_from_service_and_regions() {
     let only = |names: [&str; 2]| AllowedRegions::only(names.map(RegionName::from));
     assert_eq!(lease_name(AllowedRegions::everywhere()), "models");
     assert_eq!(lease_name(only(["south", "north"])), "models@north+south");
--- a/crates/sloetrail-serving/src/leases/term.rs
+++ b/crates/sloetrail-serving/src/leases/term.rs
@@ -11,28 +11,27 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-/// One term of a lease: from taking it to losing it or giving it up.
+/// The time from acquiring a lease to losing or releasing it.
 #[derive(Clone, Debug)]
 pub(crate) struct Term {
     pub(crate) resource: LeaseResource,
     pub(crate) epoch: Epoch,
-    /// The version of the fence row that the term's first transaction wrote.
+    /// Version of the fence row written by the term's first transaction.
     pub(crate) fence: RowVersion,
-    /// Cancelled when the holder is to put its work down in an orderly way.
+    /// Cancelled when the task has to stop in an orderly way.
     pub(crate) releasing: CancellationToken,
-    /// Cancelled once the term is over or known to be lost.
+    /// Cancelled once the term has ended or is known to be lost.
     pub(crate) ended: CancellationToken,
-    /// When the table last confirmed the lease.
     pub(crate) confirmed_at: watch::Receiver<BootInstant>,
 }
 
 impl Term {
-    /// True if the table has confirmed the lease within this time.
+    /// Returns whether the table has confirmed the lease within this time.
     pub(crate) fn is_confirmed_within(&self, time: Duration) -> bool {
         self.confirmed_at.borrow().elapsed() <= time
     }
 
-    /// The holder, as others are told it.
+    /// Returns the holder's identity for its orders and reports.
     pub(crate) fn holder(&self, settings: &ServingSettings) -> LeaseHolder {
         LeaseHolder {
             node: settings.node.clone(),
@@ -40,7 +39,7 @@
         }
     }
 
-    /// A transaction that takes effect only within this term.
+    /// Returns a transaction that takes effect only if the fence is unchanged.
     pub(crate) fn transaction(&self) -> Transaction {
         Transaction::new().require(rows::fence(self.resource.name()), Some(self.fence))
     }
--- a/crates/sloetrail-serving/src/relay/liveness.rs
+++ b/crates/sloetrail-serving/src/relay/liveness.rs
@@ -1,29 +1,26 @@
-//! Whether the holder of a lease still lives, as its watchers see it.
+//! Decides from probes whether the holder of a lease is gone.
 //!
-//! A holder whose machine says that its process is gone, or where another life of the
-//! node answers, need not be waited for. One that says nothing may be cut off from the
-//! watcher alone: so another node is asked too. Nothing here takes a lease away from a
-//! holder that lives: the table decides, and the holder's writes are fenced.
+//! A holder whose machine refuses the connection, or whose node answers as another incarnation,
+//! is gone. A holder that does not answer may be unreachable from this watcher only, so a peer
+//! is asked as well. A wrong decision is safe: the lease is taken over only by a conditional
+//! write to the table, and the writes of the previous holder are fenced.
 
 use super::probe::ProbeOutcome;
 
-/// Probes in a row that must show the holder gone.
-const GONE_LEAST: u32 = 2;
-/// Probes in a row that must have found silence before another node is asked.
-const SILENT_LEAST: u32 = 2;
+/// Probes since the last answer that must find the holder gone.
+const MIN_GONE_PROBES: u32 = 2;
+/// Probes since the last answer that must time out before a peer is asked.
+const MIN_SILENT_PROBES: u32 = 2;
 
-/// What to do after a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// Probe again later.
+pub(crate) enum LivenessDecision {
     Wait,
-    /// Ask another node what it sees.
-    AskAnother,
-    /// The holder is gone: compete for its lease.
+    /// Ask a peer for the result of its probe.
+    AskPeer,
     Compete,
 }
 
-/// What the last probes have shown.
+/// Results of the probes since the holder last answered.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Liveness {
     gone: u32,
@@ -31,28 +28,28 @@
 }
 
 impl Liveness {
-    /// Takes in a probe by this node.
-    pub(crate) fn note(&mut self, outcome: ProbeOutcome) -> Verdict {
+    /// Records the result of a probe by this node.
+    pub(crate) fn record(&mut self, outcome: ProbeOutcome) -> LivenessDecision {
         match outcome {
             ProbeOutcome::Alive => *self = Self::default(),
             ProbeOutcome::Gone => self.gone += 1,
             ProbeOutcome::Silent => self.silent += 1,
         }
         match self {
-            Self { gone, .. } if *gone >= GONE_LEAST => Verdict::Compete,
-            Self { silent, .. } if *silent >= SILENT_LEAST => Verdict::AskAnother,
-            _ => Verdict::Wait,
+            Self { gone, .. } if *gone >= MIN_GONE_PROBES => LivenessDecision::Compete,
+            Self { silent, .. } if *silent >= MIN_SILENT_PROBES => LivenessDecision::AskPeer,
+            _ => LivenessDecision::Wait,
         }
     }
 
-    /// Takes in what another node has seen after this one found silence.
-    pub(crate) fn note_other(&mut self, outcome: ProbeOutcome) -> Verdict {
+    /// Records a peer's result after the probes of this node timed out.
+    pub(crate) fn record_peer_result(&mut self, outcome: ProbeOutcome) -> LivenessDecision {
         match outcome {
             ProbeOutcome::Alive => {
                 *self = Self::default();
-                Verdict::Wait
+                LivenessDecision::Wait
             }
-            ProbeOutcome::Silent | ProbeOutcome::Gone => Verdict::Compete,
+            ProbeOutcome::Silent | ProbeOutcome::Gone => LivenessDecision::Compete,
         }
     }
 }
--- a/crates/sloetrail-serving/src/relay/liveness/tests.rs
+++ b/crates/sloetrail-serving/src/relay/liveness/tests.rs
@@ -1,39 +1,54 @@
-use super::{Liveness, ProbeOutcome, Verdict};
+use super::{Liveness, LivenessDecision, ProbeOutcome};
 
 #[test]
-fn a_holder_whose_machine_says_twice_that_it_is_gone_is_not_waited_for() {
+fn holder_found_gone_twice_is_competed_for() {
     let mut liveness = Liveness::default();
-    assert_eq!(liveness.note(ProbeOutcome::Gone), Verdict::Wait);
-    assert_eq!(liveness.note(ProbeOutcome::Gone), Verdict::Compete);
+    assert_eq!(liveness.record(ProbeOutcome::Gone), LivenessDecision::Wait);
+    assert_eq!(
+        liveness.record(ProbeOutcome::Gone),
+        LivenessDecision::Compete
+    );
 }
 
 #[test]
-fn silence_alone_proves_nothing() {
+fn timeouts_are_discarded_when_a_peer_gets_an_answer() {
     let mut liveness = Liveness::default();
-    assert_eq!(liveness.note(ProbeOutcome::Silent), Verdict::Wait);
-    assert_eq!(liveness.note(ProbeOutcome::Silent), Verdict::AskAnother);
-    assert_eq!(liveness.note_other(ProbeOutcome::Alive), Verdict::Wait);
     assert_eq!(
-        liveness.note(ProbeOutcome::Silent),
-        Verdict::Wait,
-        "it counts anew"
+        liveness.record(ProbeOutcome::Silent),
+        LivenessDecision::Wait
+    );
+    assert_eq!(
+        liveness.record(ProbeOutcome::Silent),
+        LivenessDecision::AskPeer
+    );
+    assert_eq!(
+        liveness.record_peer_result(ProbeOutcome::Alive),
+        LivenessDecision::Wait
+    );
+    assert_eq!(
+        liveness.record(ProbeOutcome::Silent),
+        LivenessDecision::Wait,
+        "the count restarts"
     );
 }
 
 #[test]
-fn silence_that_another_node_finds_too_is_believed() {
+fn timeouts_confirmed_by_a_peer_lead_to_competition() {
     let mut liveness = Liveness::default();
     for _ in 0..2 {
-        liveness.note(ProbeOutcome::Silent);
+        liveness.record(ProbeOutcome::Silent);
     }
-    assert_eq!(liveness.note_other(ProbeOutcome::Silent), Verdict::Compete);
+    assert_eq!(
+        liveness.record_peer_result(ProbeOutcome::Silent),
+        LivenessDecision::Compete
+    );
 }
 
 #[test]
-fn a_sign_of_life_wipes_out_what_was_seen_before() {
+fn answer_resets_earlier_probe_results() {
     let mut liveness = Liveness::default();
-    liveness.note(ProbeOutcome::Gone);
-    liveness.note(ProbeOutcome::Silent);
-    assert_eq!(liveness.note(ProbeOutcome::Alive), Verdict::Wait);
-    assert_eq!(liveness.note(ProbeOutcome::Gone), Verdict::Wait);
+    liveness.record(ProbeOutcome::Gone);
+    liveness.record(ProbeOutcome::Silent);
+    assert_eq!(liveness.record(ProbeOutcome::Alive), LivenessDecision::Wait);
+    assert_eq!(liveness.record(ProbeOutcome::Gone), LivenessDecision::Wait);
 }
--- a/crates/sloetrail-serving/src/relay/message.rs
+++ b/crates/sloetrail-serving/src/relay/message.rs
@@ -1,4 +1,4 @@
-//! What a node and the one that carries its calls say to each other.
+//! Messages between a node and the peer that relays its calls to the table.
 
 use crate::rows;
 use crate::table::{Changes, Commit, CommitError, KeyRange, Page, ReadError, Transaction};
@@ -7,69 +7,57 @@
 use sloetrail_types::{NodeId, RowVersion};
 use std::net::SocketAddr;
 
-/// The version of these messages. A node refuses those of another version.
+/// Version of these messages. A node refuses other versions.
 pub(super) const MESSAGE_VERSION: u8 = 1;
-/// The path under which calls are carried.
+/// Path for relayed calls.
 pub(super) const CALLS_PATH: &str = "/v1/table-calls";
-/// The path under which a node tells which life of it answers.
-pub(super) const LIFE_PATH: &str = "/v1/life";
-/// The path under which a node asks another one for its life.
+/// Path that returns the incarnation of the answering node.
+pub(super) const INCARNATION_PATH: &str = "/v1/life";
+/// Path that probes another node on behalf of the caller.
 pub(super) const PROBE_PATH: &str = "/v1/life-of-another";
 
-/// A question whether another node lives, as seen from the node that is asked.
+/// Asks a peer to probe another node.
 #[derive(Clone, Debug, Serialize, serde::Deserialize)]
 pub(super) struct ProbeCall {
-    /// The version of this message.
     pub(super) version: u8,
-    /// The token that the asked node has put into the table.
+    /// Token of the peer, as registered in the table.
     pub(super) token: String,
-    /// The life of the node that is meant.
+    /// Incarnation of the probed node.
     pub(super) life: NodeId,
-    /// Where it listens.
+    /// Address of the probed node.
     pub(super) address: SocketAddr,
 }
 
-/// A call to be carried.
+/// A call to the table that the receiving peer makes for its sender.
 #[derive(Clone, Debug, Serialize, serde::Deserialize)]
-pub(super) struct CarriedCall {
-    /// The version of this message.
+pub(super) struct RelayedCall {
     pub(super) version: u8,
-    /// The token that the carrying node has put into the table.
+    /// Token of the peer, as registered in the table.
     pub(super) token: String,
-    /// The call.
     pub(super) call: TableCall,
 }
 
-/// A call to the table.
 #[derive(Clone, Debug, Serialize, serde::Deserialize)]
 pub(super) enum TableCall {
-    /// Carries out a transaction.
     Commit(Transaction),
-    /// Reads a range.
     Scan(KeyRange),
-    /// Asks for changes.
     Changes {
-        /// The table.
         table: String,
-        /// The version that the asker has.
+        /// The version that the caller has.
         since: RowVersion,
-        /// How long the question may be held, in milliseconds.
+        /// Long-poll timeout in milliseconds.
         wait_ms: u64,
     },
 }
 
-/// The table's answer to a call.
 #[derive(Clone, Debug, Serialize, serde::Deserialize)]
 pub(super) enum TableAnswer {
-    /// To a transaction.
     Commit(Result<Commit, CommitError>),
-    /// To a read.
     Scan(Result<Page, ReadError>),
-    /// To a question for changes.
     Changes(Result<Changes, ReadError>),
 }
 
-/// Tables of what callers sent and of what was made of it.
+/// Tables with requests of callers and the results derived from them.
 const CONTENT_TABLES: [&str; 4] = [
     rows::SUBMISSIONS,
     rows::CHECKPOINTS,
@@ -77,43 +65,44 @@
     rows::CLAIMS,
 ];
 
-/// Which nodes may carry a call.
+/// Which peers may relay a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Reach {
-    /// Those of the caller's own region.
+pub(super) enum RelayScope {
+    /// Peers in the caller's own region.
     OwnRegion,
-    /// All.
+    /// All peers.
     Anywhere,
 }
 
 impl TableCall {
-    /// Which nodes may carry it. What callers sent, and what was made of it, stays in the
-    /// region of the node that they sent it to or that works on it. So do leases: a holder
-    /// whose results nobody may carry must not keep its lease with the help of others.
-    pub(super) fn reach(&self) -> Reach {
-        let is_bound = match self {
+    /// Returns which peers may relay the call. Requests of callers and their results stay in
+    /// the region of the node that received them or works on them. Writes to leases stay there
+    /// too: a holder whose results no peer may relay must not keep its lease through peers of
+    /// other regions.
+    pub(super) fn relay_scope(&self) -> RelayScope {
+        let is_regional = match self {
             TableCall::Commit(transaction) => transaction
                 .tables()
                 .any(|table| table == rows::LEASES || CONTENT_TABLES.contains(&table)),
             TableCall::Scan(range) => CONTENT_TABLES.contains(&range.table.as_str()),
             TableCall::Changes { table, .. } => CONTENT_TABLES.contains(&table.as_str()),
         };
-        match is_bound {
-            true => Reach::OwnRegion,
-            false => Reach::Anywhere,
+        match is_regional {
+            true => RelayScope::OwnRegion,
+            false => RelayScope::Anywhere,
         }
     }
 
-    /// The answer when the call has left this node and nothing came back.
-    pub(super) fn without_answer(&self) -> TableAnswer {
+    /// Returns the answer for a call that was sent and got no response.
+    pub(super) fn lost_answer(&self) -> TableAnswer {
         match self {
             TableCall::Commit(_) => TableAnswer::Commit(Err(CommitError::Unknown)),
-            TableCall::Scan(_) | TableCall::Changes { .. } => self.not_made(),
+            TableCall::Scan(_) | TableCall::Changes { .. } => self.not_sent(),
         }
     }
 
-    /// The answer when the call was not made.
-    pub(super) fn not_made(&self) -> TableAnswer {
+    /// Returns the answer for a call that was not sent.
+    pub(super) fn not_sent(&self) -> TableAnswer {
         match self {
             TableCall::Commit(_) => TableAnswer::Commit(Err(CommitError::NotDone)),
             TableCall::Scan(_) => TableAnswer::Scan(Err(ReadError::Unavailable)),
@@ -123,8 +112,8 @@
 }
 
 impl TableAnswer {
-    /// True if the table itself has answered.
-    pub(super) fn is_of_table(&self) -> bool {
+    /// Returns whether the table itself has answered.
+    pub(super) fn is_from_table(&self) -> bool {
         match self {
             TableAnswer::Commit(answer) => answer.is_ok(),
             TableAnswer::Scan(answer) => !matches!(answer, Err(ReadError::Unavailable)),
@@ -132,21 +121,20 @@
         }
     }
 
-    /// True if the table may have carried a transaction out without saying so: another
-    /// attempt could meet what this one has done, and the caller must know.
+    /// Returns whether a transaction may have been committed without confirmation. It must not
+    /// be retried through another peer, which could conflict with its own effect.
     pub(super) fn may_have_been_done(&self) -> bool {
         matches!(self, TableAnswer::Commit(Err(CommitError::Unknown)))
     }
 }
 
-/// The encoded form of a message.
 pub(super) fn encode(message: &impl Serialize) -> Vec<u8> {
     let mut encoded = Vec::new();
-    ciborium::into_writer(message, &mut encoded).expect("memory takes every write");
+    ciborium::into_writer(message, &mut encoded).expect("writing to memory does not fail");
     encoded
 }
 
-/// Reads the encoded form; nothing if it cannot be read.
+/// Returns None if the message is malformed.
 pub(super) fn decode<Message: DeserializeOwned>(encoded: &[u8]) -> Option<Message> {
     ciborium::from_reader(encoded).ok()
 }
--- a/crates/sloetrail-serving/src/relay/message/tests.rs
+++ b/crates/sloetrail-serving/src/relay/message/tests.rs
@@ -1,4 +1,4 @@
-use super::{Reach, TableAnswer, TableCall, decode, encode};
+use super::{RelayScope, TableAnswer, TableCall, decode, encode};
 use crate::rows;
 use crate::table::{Commit, CommitError, KeyRange, ReadError, RowAddress, Transaction};
 use bytes::Bytes;
@@ -11,21 +11,21 @@
 }
 
 #[test]
-fn a_transaction_without_an_answer_may_have_been_done() {
-    let answer = commit().without_answer();
+fn transaction_without_an_answer_may_have_been_done() {
+    let answer = commit().lost_answer();
     assert!(matches!(
         answer,
         TableAnswer::Commit(Err(CommitError::Unknown))
     ));
     assert!(answer.may_have_been_done());
-    assert!(!answer.is_of_table());
+    assert!(!answer.is_from_table());
 }
 
 #[test]
-fn a_call_that_was_not_made_has_done_nothing() {
-    assert!(!commit().not_made().may_have_been_done());
+fn unsent_call_has_no_effect() {
+    assert!(!commit().not_sent().may_have_been_done());
     let scan = TableCall::Scan(KeyRange::all("t", "p"));
-    for answer in [scan.not_made(), scan.without_answer()] {
+    for answer in [scan.not_sent(), scan.lost_answer()] {
         assert!(matches!(
             answer,
             TableAnswer::Scan(Err(ReadError::Unavailable))
@@ -34,50 +34,53 @@
 }
 
 #[test]
-fn the_tables_own_answers_are_told_apart_from_silence() {
-    assert!(TableAnswer::Commit(Ok(Commit::Done(RowVersion(3)))).is_of_table());
-    assert!(TableAnswer::Commit(Ok(Commit::Conflict(Vec::new()))).is_of_table());
-    assert!(TableAnswer::Changes(Err(ReadError::HistoryLost)).is_of_table());
-    assert!(!TableAnswer::Commit(Err(CommitError::NotDone)).is_of_table());
+fn table_answers_are_distinguished_from_unavailability() {
+    assert!(TableAnswer::Commit(Ok(Commit::Done(RowVersion(3)))).is_from_table());
+    assert!(TableAnswer::Commit(Ok(Commit::Conflict(Vec::new()))).is_from_table());
+    assert!(TableAnswer::Changes(Err(ReadError::HistoryLost)).is_from_table());
+    assert!(!TableAnswer::Commit(Err(CommitError::NotDone)).is_from_table());
 }
 
 #[test]
-fn messages_come_back_as_they_were() {
+fn messages_round_trip() {
     let call: TableCall = decode(&encode(&commit())).expect("readable");
     assert_eq!(format!("{call:?}"), format!("{:?}", commit()));
 }
 
 proptest! {
     #[test]
-    fn bytes_that_are_no_message_are_refused_without_harm(bytes: Vec<u8>) {
+    fn malformed_messages_do_not_panic(bytes: Vec<u8>) {
         let _ = decode::<TableCall>(&bytes);
         let _ = decode::<TableAnswer>(&bytes);
     }
 }
 
 #[test]
-fn what_callers_sent_and_leases_stay_in_the_own_region_and_all_else_does_not() {
+fn only_content_and_lease_writes_stay_in_the_region() {
     let put = |table| {
         let address = RowAddress::new(table, "p", "k");
         TableCall::Commit(Transaction::new().put(address, "v"))
     };
     let fenced = Transaction::new().require(rows::fence("s"), None);
-    assert_eq!(TableCall::Commit(fenced).reach(), Reach::OwnRegion);
+    assert_eq!(
+        TableCall::Commit(fenced).relay_scope(),
+        RelayScope::OwnRegion
+    );
     for table in [
         rows::SUBMISSIONS,
         rows::CHECKPOINTS,
         rows::RESULTS,
         rows::CLAIMS,
     ] {
-        assert_eq!(put(table).reach(), Reach::OwnRegion);
+        assert_eq!(put(table).relay_scope(), RelayScope::OwnRegion);
         let scan = TableCall::Scan(KeyRange::all(table, "p"));
-        assert_eq!(scan.reach(), Reach::OwnRegion);
+        assert_eq!(scan.relay_scope(), RelayScope::OwnRegion);
         let changes = TableCall::Changes {
             table: table.to_owned(),
             since: RowVersion(1),
             wait_ms: 0,
         };
-        assert_eq!(changes.reach(), Reach::OwnRegion);
+        assert_eq!(changes.relay_scope(), RelayScope::OwnRegion);
     }
     for table in [
         rows::ENDS,
@@ -85,8 +88,12 @@
         rows::USAGE_PIECES,
         rows::CLAIM_TIMES,
     ] {
-        assert_eq!(put(table).reach(), Reach::Anywhere);
+        assert_eq!(put(table).relay_scope(), RelayScope::Anywhere);
     }
     let leases = TableCall::Scan(KeyRange::all(rows::LEASES, rows::OWNERS));
-    assert_eq!(leases.reach(), Reach::Anywhere, "every node follows them");
+    assert_eq!(
+        leases.relay_scope(),
+        RelayScope::Anywhere,
+        "every node follows the lease rows"
+    );
 }
--- a/crates/sloetrail-serving/src/relay/mod.rs
+++ b/crates/sloetrail-serving/src/relay/mod.rs
@@ -1,25 +1,23 @@
-//! Calls to the table, carried by another node.
+//! Relays calls to the table through other nodes.
 //!
-//! The table may refuse, drop or be cut off from single nodes while it serves the
-//! others. A node that it does not answer sends its calls to another node, which makes
-//! them on its own way to the table and passes the answer back. An owner then keeps its
-//! lease and goes on listing, and its callers notice nothing.
+//! The table may refuse or drop the calls of single nodes, or be unreachable for them, while it
+//! serves others. A node that gets no answer sends its calls to a peer, which makes them over
+//! its own direct connection and returns the answer. An owner thereby keeps its lease and
+//! continues to list results, and its callers are not affected.
 //!
-//! What keeps this safe: calls carry the conditions that the table judges, so a call
-//! that is carried twice or late does what a call without an answer may do anyway; a
-//! node carries calls only on its own direct way, never on, so that none goes round in a
-//! circle; what callers sent, and what was made of it, goes only through nodes of the own
-//! region ([`message`]); and a caller shows the token that the carrying node has put into
-//! the table, so that only who reads the table is served, and never by a later life of an
-//! address.
+//! Safety: calls carry the conditions that the table checks, so a call that is relayed twice or
+//! late has no other effect than a call without an answer. Peers relay calls only over their
+//! direct connection, so calls do not loop. Requests of callers and their results are relayed
+//! only within the own region ([`message`]). Each call carries the token that the peer has
+//! registered in the table: only readers of the table are served, and a call cannot reach a
+//! later incarnation at the same address.
 //!
-//! The same nodes watch over each other's owners ([`liveness`]): a few of them ask the
-//! owner of a service whether it lives, and need not wait for its lease to run out when
-//! it does not.
+//! Peers also probe the owners of leases ([`liveness`]): a few of them check whether an owner
+//! still runs, and compete for its lease before it expires if the owner is gone.
 //!
-//! Flow: [`peers`] registers the node and follows where the others are; [`server`]
-//! carries calls for them; [`table`] chooses for each call between the direct way and a
-//! peer; [`message`] is what goes between two nodes, as CBOR over HTTP.
+//! [`peers`] registers the node and follows the rows of other nodes; [`server`] serves their
+//! calls; [`table`] chooses between the direct connection and a peer for each call; [`message`]
+//! defines the messages, which are CBOR over HTTP.
 
 pub(crate) mod liveness;
 mod message;
@@ -34,8 +32,7 @@
 use std::sync::Arc;
 use tokio::net::TcpListener;
 
-/// Starts carrying calls for others, and returns the table as it is reached with their
-/// help, and the others.
+/// Starts to serve other nodes. Returns the table with peers as a fallback, and the peers.
 pub(crate) fn start(
     settings: &ServingSettings,
     direct: Arc<dyn Table>,
--- a/crates/sloetrail-serving/src/relay/peers.rs
+++ b/crates/sloetrail-serving/src/relay/peers.rs
@@ -1,7 +1,7 @@
-//! Which other nodes there are, and which one carries calls for this one.
+//! Registers this node, follows the other nodes and relays calls through them.
 
 use super::message::{
-    CALLS_PATH, CarriedCall, MESSAGE_VERSION, Reach, TableAnswer, TableCall, decode, encode,
+    CALLS_PATH, MESSAGE_VERSION, RelayScope, RelayedCall, TableAnswer, TableCall, decode, encode,
 };
 use crate::events::{self, Event};
 use crate::follow::{FollowPace, Pacing, ViewReceiver, follow};
@@ -23,78 +23,74 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Nodes start together, and all of them write their rows then.
-const REGISTER_RETRY: Duration = Duration::from_millis(400);
-/// A node that registered before it had any answer of the table does so again soon.
-const CLOCK_UNKNOWN_PAUSE: Duration = Duration::from_millis(500);
-/// All nodes ask the table much when they start together. Its answers some seconds later
-/// tell how near it is.
-const SETTLED_PAUSE: Duration = Duration::from_secs(5);
-/// Clocks drift apart by under 0.1 ms a second.
-const REGISTER_PERIOD: Duration = Duration::from_secs(600);
-/// How often the rows are asked for: they change when nodes start.
-const FOLLOW_PAUSE: Duration = Duration::from_secs(4);
-const FOLLOW_WAIT: Duration = Duration::from_secs(1);
-/// Peers that are asked for one call.
-const PEERS_ASKED_MOST: usize = 3;
-/// A peer that failed is not asked for this long, if there are others.
-const FAILED_PAUSE: Duration = Duration::from_millis(1_000);
-/// After no peer could help, the direct way is tried alone for this long.
-const HELPLESS_PAUSE: Duration = Duration::from_millis(400);
-/// How long a peer may take over a call, beyond the time for which it is held.
-const CALL_TIME: Duration = Duration::from_millis(600);
-/// Calls in a row that peers left without any answer after which the node counts as cut
-/// off from all of them: a single peer may be frozen or gone.
-const SILENCES_LEAST: u32 = 2;
-const ANSWER_BYTES: usize = 4 * 1024 * 1024;
-
-/// What a node tells the others of itself, in a row of the table.
+/// Nodes that start together contend for the table.
+const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Delay before a node registers again that did not yet know the table's clock.
+const CLOCK_UNKNOWN_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Delay after the start until response times of the table are representative.
+const SETTLING_DELAY: Duration = Duration::from_secs(5);
+/// Bounds the error of the registered clock lead, since clocks drift.
+const REGISTER_INTERVAL: Duration = Duration::from_secs(600);
+/// The rows change only when nodes start or register again.
+const FOLLOW_DELAY: Duration = Duration::from_secs(4);
+const FOLLOW_LONG_POLL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Peers that are tried for one call.
+const MAX_PEERS_PER_CALL: usize = 3;
+/// A peer that failed is tried last for this time.
+const FAILED_PEER_BACKOFF: Duration = Duration::from_millis(1_000);
+/// After no peer could relay a call, only the direct connection is used for this time.
+const NO_RELAY_BACKOFF: Duration = Duration::from_millis(400);
+/// How long a peer may take over a call, in addition to its long-poll timeout.
+const CALL_TIMEOUT: Duration = Duration::from_millis(600);
+/// Consecutive calls without any answer from peers after which this node counts as isolated. A
+/// single peer may have failed.
+const MIN_UNANSWERED_CALLS: u32 = 2;
+const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
+
+/// The row with which a node registers itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct PeerEntry {
-    /// Where it listens for other nodes.
+    /// Address of its server for other nodes.
     pub(super) address: SocketAddr,
-    /// Its zone.
     pub(super) zone: ZoneName,
-    /// The region of its zone; nothing if that is not known.
+    /// None if the region of its zone is unknown.
     #[serde(default)]
     pub(super) region: Option<RegionName>,
-    /// Its rank among candidates for a lease.
     pub(super) candidate_rank: u32,
-    /// What a caller must show: it knows the row, and means this life of the node.
+    /// Token that callers must present. It identifies this incarnation of the node and is known
+    /// only to readers of the table.
     pub(super) token: String,
-    /// How far it sees wall-clock time ahead of the table's clock; nothing before it knows
-    /// that clock.
+    /// How far wall-clock time is ahead of the table's clock on this node. None until that
+    /// clock is known.
     #[serde(default)]
     pub(super) clock_lead: Option<ClockLead>,
-    /// How long an ordinary answer of the table takes to reach it, in microseconds; nothing
-    /// before some time has passed since its start.
+    /// Usual response time of the table in microseconds. None until some time after the start.
     #[serde(default)]
     pub(super) table_time_us: Option<u64>,
 }
 
-/// Writes the node's row until the table has taken it, and anew from time to time, for
-/// clocks drift.
+/// Registers the node, and registers it again at intervals, since clocks drift.
 pub(super) async fn register(table: Arc<dyn Table>, node: String, mut entry: PeerEntry) {
     let started_at = BootInstant::now();
     loop {
         entry.clock_lead = seen_lead(&*table);
-        let is_settled = started_at.elapsed() >= SETTLED_PAUSE;
+        let is_settled = started_at.elapsed() >= SETTLING_DELAY;
         let table_time = table.ordinary_time().as_micros() as u64;
         entry.table_time_us = is_settled.then_some(table_time);
         let row = serde_json::to_vec(&entry).unwrap_or_default();
         let transaction = Transaction::new().put(rows::node(&node), row);
         let is_registered = table.commit(&transaction).await.is_ok();
-        let pause = match (is_registered, entry.clock_lead) {
-            (false, _) => REGISTER_RETRY,
-            (true, None) => CLOCK_UNKNOWN_PAUSE,
-            (true, Some(_)) if !is_settled => SETTLED_PAUSE,
-            (true, Some(_)) => REGISTER_PERIOD,
+        let delay = match (is_registered, entry.clock_lead) {
+            (false, _) => REGISTER_RETRY_DELAY,
+            (true, None) => CLOCK_UNKNOWN_RETRY_DELAY,
+            (true, Some(_)) if !is_settled => SETTLING_DELAY,
+            (true, Some(_)) => REGISTER_INTERVAL,
         };
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(delay).await;
     }
 }
 
-/// How far each node sees wall-clock time ahead of the table's clock.
+/// Returns how far wall-clock time is ahead of the table's clock on each node.
 pub(crate) async fn read_clock_leads(table: &dyn Table) -> Result<Vec<ClockLead>, ReadError> {
     let page = scan_all(table, KeyRange::all(rows::NODES, rows::NODES)).await?;
     let entries = page.rows.iter();
@@ -102,7 +98,7 @@
     Ok(entries.filter_map(|entry| entry.clock_lead).collect())
 }
 
-/// The other nodes.
+/// The other nodes, through which calls to the table can be relayed.
 pub(crate) struct Peers {
     pub(super) own_name: String,
     topology: Topology,
@@ -114,65 +110,65 @@
 
 #[derive(Default)]
 struct PeerState {
-    /// The peer that is asked first.
+    /// The peer that is tried first.
     current: Option<String>,
     failed_at: HashMap<String, BootInstant>,
-    /// Until when peers that may carry such calls are not asked.
-    helpless_until: BTreeMap<Reach, BootInstant>,
-    /// Calls in a row that peers left without any answer.
-    silences: u32,
+    /// Until when no peer of a scope is tried.
+    no_relay_until: BTreeMap<RelayScope, BootInstant>,
+    /// Consecutive calls without any answer from a peer.
+    unanswered_calls: u32,
 }
 
 impl PeerState {
-    /// A peer has carried a call; true if it is now the one that is asked first. It stays
-    /// that until it fails: calls that were under way come back from others too.
-    fn note_carried(&mut self, name: &str) -> bool {
+    /// Records that a peer relayed a call. Returns whether it is the new first choice. An
+    /// existing first choice is kept until it fails, since calls in flight may also return from
+    /// other peers.
+    fn record_relayed(&mut self, name: &str) -> bool {
         self.failed_at.remove(name);
-        let has_begun = self.current.is_none();
-        if has_begun {
+        let is_new_relay = self.current.is_none();
+        if is_new_relay {
             self.current = Some(name.to_owned());
         }
-        has_begun
+        is_new_relay
     }
 
-    /// A peer did not answer a call at all.
-    fn note_silence(&mut self) {
-        self.silences = self.silences.saturating_add(1);
+    /// Records that a peer did not answer a call.
+    fn record_unanswered(&mut self) {
+        self.unanswered_calls = self.unanswered_calls.saturating_add(1);
     }
 
-    /// A peer gave an answer, whatever it says: others can be reached.
-    fn note_answered(&mut self) {
-        self.silences = 0;
+    /// Records any answer of a peer: peers are reachable.
+    fn record_answered(&mut self) {
+        self.unanswered_calls = 0;
     }
 
-    fn are_silent(&self) -> bool {
-        self.silences >= SILENCES_LEAST
+    fn are_unresponsive(&self) -> bool {
+        self.unanswered_calls >= MIN_UNANSWERED_CALLS
     }
 
-    /// The table answers this node directly: what was seen of peers before is out of date
-    /// when it is away the next time. Returns the peer that carried calls, if one did.
-    fn note_direct(&mut self) -> Option<String> {
-        self.silences = 0;
+    /// Records that the table answers directly and discards the state of peers, which would be
+    /// outdated in the next outage. Returns the peer that relayed calls, if any.
+    fn record_direct_answer(&mut self) -> Option<String> {
+        self.unanswered_calls = 0;
         self.current.take()
     }
 
-    /// A peer could not carry a call; true if it was the one that is asked first.
-    fn note_failed(&mut self, name: &str, now: BootInstant) -> bool {
+    /// Records that a peer could not relay a call. Returns whether it was the first choice.
+    fn record_failure(&mut self, name: &str, now: BootInstant) -> bool {
         self.failed_at.insert(name.to_owned(), now);
-        let has_ended = self.current.as_deref() == Some(name);
-        if has_ended {
+        let was_current = self.current.as_deref() == Some(name);
+        if was_current {
             self.current = None;
         }
-        has_ended
+        was_current
     }
 }
 
 impl Peers {
-    /// Follows the rows of the other nodes.
     pub(super) fn follow(settings: &ServingSettings, table: &Arc<dyn Table>) -> Self {
         let pace = FollowPace {
-            pause: Pacing::fixed(FOLLOW_PAUSE),
-            wait: Pacing::fixed(FOLLOW_WAIT),
+            pause: Pacing::fixed(FOLLOW_DELAY),
+            wait: Pacing::fixed(FOLLOW_LONG_POLL_TIMEOUT),
         };
         Self {
             own_name: settings.node.clone(),
@@ -184,80 +180,80 @@
         }
     }
 
-    /// The table's answer to a call, if a peer that may carry it can get one. A transaction
-    /// that a peer may have carried out is not given to another one: its outcome is unknown.
-    pub(super) async fn carry(&self, call: TableCall) -> Option<TableAnswer> {
-        let reach = match self.topology.has_regions() {
-            true => call.reach(),
-            false => Reach::Anywhere,
+    /// Returns the table's answer to a call, if a permitted peer gets one. A transaction that
+    /// may have been committed is not sent to another peer: its outcome is unknown.
+    pub(super) async fn relay(&self, call: TableCall) -> Option<TableAnswer> {
+        let scope = match self.topology.has_regions() {
+            true => call.relay_scope(),
+            false => RelayScope::Anywhere,
         };
-        if self.is_helpless(reach) {
+        if self.has_no_relay(scope) {
             return None;
         }
-        for (name, entry) in self.in_order(reach) {
-            let asked = self.ask(&entry, &call).await;
-            // A kept connection that is silent says nothing of the peer.
-            if asked
+        for (name, entry) in self.by_preference(scope) {
+            let result = self.relay_through(&entry, &call).await;
+            // An unresponsive reused connection does not show that the peer is unreachable.
+            if result
                 .as_ref()
                 .is_err_and(|failure| *failure != SendFailure::KeptSilent)
             {
-                self.state().note_silence();
+                self.state().record_unanswered();
             }
-            let (answer, cause) = match asked {
-                Ok(answer) => (answer, "the table does not answer it either"),
-                Err(SendFailure::NotSent) => (call.not_made(), "it cannot be reached"),
-                Err(_) => (call.without_answer(), "it did not answer"),
+            let (answer, cause) = match result {
+                Ok(answer) => (answer, "the table does not answer the peer either"),
+                Err(SendFailure::NotSent) => (call.not_sent(), "the peer is unreachable"),
+                Err(_) => (call.lost_answer(), "the peer did not answer"),
             };
-            if answer.is_of_table() {
-                self.note_carried(&name);
+            if answer.is_from_table() {
+                self.record_relayed(&name);
                 return Some(answer);
             }
-            self.note_failed(&name, cause);
+            self.record_failure(&name, cause);
             if answer.may_have_been_done() {
                 return Some(answer);
             }
         }
-        self.note_helpless(reach);
+        self.record_no_relay(scope);
         None
     }
 
-    /// The table answers this node directly again.
-    pub(super) fn note_direct(&self) {
-        let carried_by = self.state().note_direct();
-        if let Some(peer) = carried_by {
-            let cause = "the table answers again";
+    /// Records that the table answers this node directly.
+    pub(super) fn record_direct_answer(&self) {
+        let relay = self.state().record_direct_answer();
+        if let Some(peer) = relay {
+            let cause = "the table answers this node again";
             events::emit(&Event::RelayEnded { peer: &peer, cause });
         }
     }
 
-    /// The peers to ask: the one that helped last, then others, the nearest first and those
-    /// that failed lately last.
-    pub(super) fn in_order(&self, reach: Reach) -> Vec<(String, PeerEntry)> {
+    /// Returns the peers to try: the one that relayed last, then the others by distance, with
+    /// those that failed recently last.
+    pub(super) fn by_preference(&self, scope: RelayScope) -> Vec<(String, PeerEntry)> {
         let view = self.entries.borrow().clone();
         let others = view.rows.iter().filter(|(name, _)| **name != self.own_name);
         let mut peers: Vec<(String, PeerEntry)> = others
             .filter_map(|(name, row)| {
                 Some((name.clone(), serde_json::from_slice(&row.value).ok()?))
             })
-            .filter(|(_, entry)| self.may_carry(entry, reach))
+            .filter(|(_, entry)| self.may_relay(entry, scope))
             .collect();
         peers.shuffle(&mut rand::rng());
         let state = self.state();
         let now = BootInstant::now();
         peers.sort_by_key(|(name, entry)| {
             let failed_at = state.failed_at.get(name);
-            let has_failed = failed_at.is_some_and(|at| now < *at + FAILED_PAUSE);
+            let has_failed = failed_at.is_some_and(|at| now < *at + FAILED_PEER_BACKOFF);
             let is_current = state.current.as_ref() == Some(name);
             (has_failed, !is_current, self.distance(entry))
         });
-        peers.truncate(PEERS_ASKED_MOST);
+        peers.truncate(MAX_PEERS_PER_CALL);
         peers
     }
 
-    fn may_carry(&self, entry: &PeerEntry, reach: Reach) -> bool {
-        match reach {
-            Reach::OwnRegion => self.distance(entry) < Distance::Elsewhere,
-            Reach::Anywhere => true,
+    fn may_relay(&self, entry: &PeerEntry, scope: RelayScope) -> bool {
+        match scope {
+            RelayScope::OwnRegion => self.distance(entry) < Distance::Elsewhere,
+            RelayScope::Anywhere => true,
         }
     }
 
@@ -266,13 +262,17 @@
             .distance_to(&entry.zone, entry.region.as_ref())
     }
 
-    async fn ask(&self, entry: &PeerEntry, call: &TableCall) -> Result<TableAnswer, SendFailure> {
-        let held = match call {
+    async fn relay_through(
+        &self,
+        entry: &PeerEntry,
+        call: &TableCall,
+    ) -> Result<TableAnswer, SendFailure> {
+        let hold_time = match call {
             TableCall::Changes { wait_ms, .. } => Duration::from_millis(*wait_ms),
             TableCall::Commit(_) | TableCall::Scan(_) => Duration::ZERO,
         };
-        let deadline = BootInstant::now() + CALL_TIME + held;
-        let message = encode(&CarriedCall {
+        let deadline = BootInstant::now() + CALL_TIMEOUT + hold_time;
+        let message = encode(&RelayedCall {
             version: MESSAGE_VERSION,
             token: entry.token.clone(),
             call: call.clone(),
@@ -282,36 +282,41 @@
         decode(&answer).ok_or(SendFailure::Lost)
     }
 
-    /// Sends a request that may repeat: once more over a new connection, with as much time,
-    /// if a kept one says nothing.
-    pub(super) async fn send_repeatable(
+    /// Sends an idempotent request. Retries it once over a new connection, with the same
+    /// timeout, if a reused connection is unresponsive.
+    pub(super) async fn send_idempotent(
         &self,
         address: SocketAddr,
         request: (Method, &'static str, Vec<u8>),
-        time: Duration,
+        timeout: Duration,
     ) -> Result<Bytes, SendFailure> {
-        let began = BootInstant::now();
-        let first = self.send_over(address, request.clone(), Reuse::Any, began + time);
+        let started_at = BootInstant::now();
+        let first =
+            self.send_with_reuse(address, request.clone(), Reuse::Any, started_at + timeout);
         match first.await {
             Err(SendFailure::KeptSilent) => {
-                let (reuse, deadline) = (Reuse::AnsweredSince(began), BootInstant::now() + time);
-                self.send_over(address, request, reuse, deadline).await
+                let (reuse, deadline) = (
+                    Reuse::AnsweredSince(started_at),
+                    BootInstant::now() + timeout,
+                );
+                self.send_with_reuse(address, request, reuse, deadline)
+                    .await
             }
-            answered => answered,
+            response => response,
         }
     }
 
-    /// Sends a request to a peer and reads its answer.
     pub(super) async fn send(
         &self,
         address: SocketAddr,
         request: (Method, &'static str, Vec<u8>),
         deadline: BootInstant,
     ) -> Result<Bytes, SendFailure> {
-        self.send_over(address, request, Reuse::Any, deadline).await
+        self.send_with_reuse(address, request, Reuse::Any, deadline)
+            .await
     }
 
-    async fn send_over(
+    async fn send_with_reuse(
         &self,
         address: SocketAddr,
         (method, path, body): (Method, &'static str, Vec<u8>),
@@ -326,68 +331,68 @@
         }
         let pool = &self.connections;
         let exchange = Exchange::send(pool, address, request, reuse, deadline).await?;
-        let answer = exchange.whole(ANSWER_BYTES, deadline).await?;
-        self.state().note_answered();
+        let answer = exchange.whole(MAX_ANSWER_BYTES, deadline).await?;
+        self.state().record_answered();
         match answer.status.is_success() {
             true => Ok(answer.body),
             false => Err(SendFailure::NotSent),
         }
     }
 
-    /// The names of the nodes that have registered, this one included; nothing before this
-    /// node is among them and has read them once more since its start. Until then nodes that
-    /// started together may each take themselves for the only one.
+    /// Returns the names of all registered nodes, including this one. None until this node has
+    /// found its own row and read the rows again after its start; otherwise nodes that start
+    /// together might each see only themselves.
     pub(crate) fn names(&self) -> Option<Vec<String>> {
         let view = self.entries.borrow();
-        let is_read_again = self.started_at.elapsed() >= FOLLOW_PAUSE + FOLLOW_WAIT;
-        let is_known = is_read_again && view.rows.contains_key(&self.own_name);
+        let is_reread = self.started_at.elapsed() >= FOLLOW_DELAY + FOLLOW_LONG_POLL_TIMEOUT;
+        let is_known = is_reread && view.rows.contains_key(&self.own_name);
         is_known.then(|| view.rows.keys().cloned().collect())
     }
 
-    /// Where the node of a life listens for others, as its row says.
-    pub(super) fn address_of(&self, life: &NodeId) -> Option<SocketAddr> {
+    /// Returns the registered address of the node of an incarnation.
+    pub(super) fn address_of(&self, incarnation: &NodeId) -> Option<SocketAddr> {
         let view = self.entries.borrow();
-        let row = view.rows.get(node_name(life))?;
+        let row = view.rows.get(node_name(incarnation))?;
         let entry: PeerEntry = serde_json::from_slice(&row.value).ok()?;
         Some(entry.address)
     }
 
-    fn note_carried(&self, name: &str) {
-        let has_begun = self.state().note_carried(name);
-        if has_begun {
+    fn record_relayed(&self, name: &str) {
+        let is_new_relay = self.state().record_relayed(name);
+        if is_new_relay {
             events::emit(&Event::RelayBegan { peer: name });
         }
     }
 
-    fn note_failed(&self, name: &str, cause: &str) {
-        let has_ended = self.state().note_failed(name, BootInstant::now());
-        if has_ended {
+    fn record_failure(&self, name: &str, cause: &str) {
+        let was_current = self.state().record_failure(name, BootInstant::now());
+        if was_current {
             events::emit(&Event::RelayEnded { peer: name, cause });
         }
     }
 
-    fn note_helpless(&self, reach: Reach) {
-        let until = BootInstant::now() + HELPLESS_PAUSE;
-        self.state().helpless_until.insert(reach, until);
+    fn record_no_relay(&self, scope: RelayScope) {
+        let until = BootInstant::now() + NO_RELAY_BACKOFF;
+        self.state().no_relay_until.insert(scope, until);
     }
 
-    fn is_helpless(&self, reach: Reach) -> bool {
-        let until = self.state().helpless_until.get(&reach).copied();
+    fn has_no_relay(&self, scope: RelayScope) -> bool {
+        let until = self.state().no_relay_until.get(&scope).copied();
         until.is_some_and(|until| BootInstant::now() < until)
     }
 
-    /// True if the peers that were asked last did not answer at all.
-    pub(super) fn are_silent(&self) -> bool {
-        self.state().are_silent()
+    /// Returns whether the last calls to peers got no answer at all.
+    pub(super) fn are_unresponsive(&self) -> bool {
+        self.state().are_unresponsive()
     }
 
-    /// True while peers carry this node's calls, but none of its own region can.
-    pub(super) fn are_far_away(&self) -> bool {
-        self.is_helping() && self.is_helpless(Reach::OwnRegion)
+    /// Returns whether peers relay this node's calls, but none of its own region can.
+    pub(super) fn lacks_regional_relay(&self) -> bool {
+        self.has_relay() && self.has_no_relay(RelayScope::OwnRegion)
     }
 
-    /// True while a peer carries this node's calls.
-    pub(super) fn is_helping(&self) -> bool {
+    /// Returns whether a peer relays this node's calls.
+    pub(super) fn has_relay(&self) -> bool {
         self.state().current.is_some()
     }
 
@@ -396,9 +401,9 @@
     }
 }
 
-/// The name of the node that a life is of.
-pub(super) fn node_name(life: &NodeId) -> &str {
-    life.as_str().split('/').next().unwrap_or_default()
+/// Returns the name of the node of an incarnation.
+pub(super) fn node_name(incarnation: &NodeId) -> &str {
+    incarnation.as_str().split('/').next().unwrap_or_default()
 }
 
 #[cfg(test)]
--- a/crates/sloetrail-serving/src/relay/peers/tests.rs
+++ b/crates/sloetrail-serving/src/relay/peers/tests.rs
@@ -15,64 +15,68 @@
 use tokio::sync::watch;
 
 #[test]
-fn the_peer_that_helped_first_is_kept_until_it_fails() {
+fn first_relay_is_kept_until_it_fails() {
     let mut state = PeerState::default();
-    assert!(state.note_carried("a"));
-    assert!(!state.note_carried("b"), "a call that was under way");
-    assert!(!state.note_failed("b", BootInstant::now()));
+    assert!(state.record_relayed("a"));
+    assert!(!state.record_relayed("b"), "the call was already in flight");
+    assert!(!state.record_failure("b", BootInstant::now()));
     assert_eq!(state.current.as_deref(), Some("a"));
-    assert!(state.note_failed("a", BootInstant::now()));
-    assert!(state.note_carried("b"));
+    assert!(state.record_failure("a", BootInstant::now()));
+    assert!(state.record_relayed("b"));
 }
 
 #[test]
-fn a_node_that_two_peers_leave_without_an_answer_is_cut_off_until_one_answers() {
+fn peers_are_unresponsive_after_two_unanswered_calls() {
     let mut state = PeerState::default();
-    assert!(!state.are_silent(), "nobody has been asked");
-    state.note_silence();
-    assert!(!state.are_silent(), "one peer may be frozen or gone");
-    state.note_silence();
-    assert!(state.are_silent());
-    state.note_answered();
-    assert!(!state.are_silent());
+    assert!(!state.are_unresponsive(), "no peer was called");
+    state.record_unanswered();
+    assert!(!state.are_unresponsive(), "a single peer may have failed");
+    state.record_unanswered();
+    assert!(state.are_unresponsive());
+    state.record_answered();
+    assert!(!state.are_unresponsive());
 }
 
 #[test]
-fn silence_from_before_the_table_was_back_counts_no_more() {
+fn direct_answer_resets_unanswered_calls() {
     let mut state = PeerState::default();
-    state.note_silence();
-    state.note_silence();
-    state.note_carried("a");
-    assert_eq!(state.note_direct().as_deref(), Some("a"));
-    assert!(!state.are_silent(), "the next outage may strike everybody");
-    assert_eq!(state.note_direct(), None);
+    state.record_unanswered();
+    state.record_unanswered();
+    state.record_relayed("a");
+    assert_eq!(state.record_direct_answer().as_deref(), Some("a"));
+    assert!(
+        !state.are_unresponsive(),
+        "unanswered calls of an earlier outage are discarded"
+    );
+    assert_eq!(state.record_direct_answer(), None);
 }
 
-const LIFE: &str = "other/1";
+const INCARNATION: &str = "other/1";
 
-/// A peer that says which life it is, until its connections of now fall silent.
-async fn peer(silences: watch::Receiver<u64>) -> SocketAddr {
+/// A peer that serves its incarnation. When `stalls` changes, its open connections stop
+/// answering.
+async fn peer(stalls: watch::Receiver<u64>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let mut silences = silences.clone();
-            silences.mark_unchanged();
-            tokio::spawn(tell_life(stream, silences));
+            let mut stalls = stalls.clone();
+            stalls.mark_unchanged();
+            tokio::spawn(serve_incarnation(stream, stalls));
         }
     });
     address
 }
 
-async fn tell_life(mut stream: TcpStream, silences: watch::Receiver<u64>) {
+async fn serve_incarnation(mut stream: TcpStream, stalls: watch::Receiver<u64>) {
     let mut request = [0; 4096];
-    let length = LIFE.len();
-    let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{LIFE}");
+    let length = INCARNATION.len();
+    let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{INCARNATION}");
     while stream.read(&mut request).await.is_ok_and(|read| read > 0) {
-        if silences.has_changed().unwrap_or(true) {
+        if stalls.has_changed().unwrap_or(true) {
             std::future::pending::<()>().await;
         }
-        // A prober that has gone is no matter here.
+        // The prober may have closed the connection.
         let _ = stream.write_all(answer.as_bytes()).await;
     }
 }
@@ -97,16 +101,31 @@
 }
 
 #[tokio::test]
-async fn a_peer_behind_a_silent_connection_is_found_alive_over_a_new_one() {
-    let (silences, receiver) = watch::channel(0);
+async fn unresponsive_connection_is_replaced_and_peer_found_alive() {
+    let (stalls, receiver) = watch::channel(0);
     let address = peer(receiver).await;
-    let (peers, life) = (peers(), NodeId::new(LIFE));
-    assert_eq!(peers.probe(&life, address).await, ProbeOutcome::Alive);
-    silences.send_modify(|count| *count += 1);
-    let watch = Stopwatch::start();
-    assert_eq!(peers.probe(&life, address).await, ProbeOutcome::Alive);
-    assert!(watch.elapsed() < Duration::from_millis(300), "one time-out");
-    let watch = Stopwatch::start();
-    assert_eq!(peers.probe(&life, address).await, ProbeOutcome::Alive);
-    assert!(watch.elapsed() < Duration::from_millis(100), "none");
+    let (peers, incarnation) = (peers(), NodeId::new(INCARNATION));
+    assert_eq!(
+        peers.probe(&incarnation, address).await,
+        ProbeOutcome::Alive
+    );
+    stalls.send_modify(|count| *count += 1);
+    let stopwatch = Stopwatch::start();
+    assert_eq!(
+        peers.probe(&incarnation, address).await,
+        ProbeOutcome::Alive
+    );
+    assert!(
+        stopwatch.elapsed() < Duration::from_millis(300),
+        "took more than one timeout"
+    );
+    let stopwatch = Stopwatch::start();
+    assert_eq!(
+        peers.probe(&incarnation, address).await,
+        ProbeOutcome::Alive
+    );
+    assert!(
+        stopwatch.elapsed() < Duration::from_millis(100),
+        "the unresponsive connection was reused"
+    );
 }
--- a/crates/sloetrail-serving/src/relay/probe.rs
+++ b/crates/sloetrail-serving/src/relay/probe.rs
@@ -1,6 +1,8 @@
-//! Probes of another node: whether a life of it answers, from here or from elsewhere.
+//! Probes whether an incarnation of another node runs, from this node or from a peer.
 
-use super::message::{LIFE_PATH, MESSAGE_VERSION, PROBE_PATH, ProbeCall, Reach, decode, encode};
+use super::message::{
+    INCARNATION_PATH, MESSAGE_VERSION, PROBE_PATH, ProbeCall, RelayScope, decode, encode,
+};
 use super::peers::{PeerEntry, Peers, node_name};
 use crate::http::SendFailure;
 use crate::table::Row;
@@ -11,28 +13,24 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a node may take to say that it lives.
-const PROBE_TIME: Duration = Duration::from_millis(150);
-/// Nodes that watch over the holder of a lease.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Number of nodes that probe the holder of a lease.
 const WATCHERS: usize = 3;
-/// Nodes whose table answers within this many times the shortest time are near it. In
-/// another region answers take four to six times as long.
+/// A node is near the table if its response time is at most this multiple of the shortest one.
+/// Response times from other regions are well above it.
 const NEAR_FACTOR: u64 = 2;
 
-/// What a probe of a node has shown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum ProbeOutcome {
-    /// It has answered.
     Alive,
-    /// Nothing came.
+    /// The probe timed out.
     Silent,
-    /// Its machine says that it is not there, or another life has taken its place.
+    /// The connection was refused, or another incarnation answered.
     Gone,
 }
 
 impl ProbeOutcome {
-    /// A word for logs.
-    pub(crate) fn word(self) -> &'static str {
+    pub(crate) fn as_str(self) -> &'static str {
         match self {
             ProbeOutcome::Alive => "alive",
             ProbeOutcome::Silent => "silent",
@@ -42,61 +40,59 @@
 }
 
 impl Peers {
-    /// Whether a life of a node answers at an address.
-    pub(super) async fn probe(&self, life: &NodeId, address: SocketAddr) -> ProbeOutcome {
-        let request = (Method::GET, LIFE_PATH, Vec::new());
-        let began = BootInstant::now();
-        match self.send_repeatable(address, request, PROBE_TIME).await {
-            Ok(answer) if answer == life.as_str().as_bytes() => ProbeOutcome::Alive,
-            // Another life of the node answers.
+    /// Probes an incarnation at an address.
+    pub(super) async fn probe(&self, incarnation: &NodeId, address: SocketAddr) -> ProbeOutcome {
+        let request = (Method::GET, INCARNATION_PATH, Vec::new());
+        let started_at = BootInstant::now();
+        match self.send_idempotent(address, request, PROBE_TIMEOUT).await {
+            Ok(answer) if answer == incarnation.as_str().as_bytes() => ProbeOutcome::Alive,
             Ok(_) => ProbeOutcome::Gone,
             Err(SendFailure::OutOfTime) => ProbeOutcome::Silent,
-            Err(_) if began.elapsed() >= PROBE_TIME => ProbeOutcome::Silent,
+            Err(_) if started_at.elapsed() >= PROBE_TIMEOUT => ProbeOutcome::Silent,
             Err(_) => ProbeOutcome::Gone,
         }
     }
 
-    /// Whether a life of a node answers. A node that is not known counts as alive: its
-    /// lease still has to run out.
-    pub(crate) async fn probe_life(&self, life: &NodeId) -> ProbeOutcome {
-        match self.address_of(life) {
-            Some(address) => self.probe(life, address).await,
+    /// Probes an incarnation at its registered address. A node that is not registered counts as
+    /// alive, so that its lease has to expire.
+    pub(crate) async fn probe_incarnation(&self, incarnation: &NodeId) -> ProbeOutcome {
+        match self.address_of(incarnation) {
+            Some(address) => self.probe(incarnation, address).await,
             None => ProbeOutcome::Alive,
         }
     }
 
-    /// Whether a life of a node answers another peer. Where none can say, it counts as
-    /// alive.
-    pub(crate) async fn probe_through_another(&self, life: &NodeId) -> ProbeOutcome {
-        let Some(address) = self.address_of(life) else {
+    /// Asks a peer to probe an incarnation. Counts as alive if no peer gives a result.
+    pub(crate) async fn probe_through_peer(&self, incarnation: &NodeId) -> ProbeOutcome {
+        let Some(address) = self.address_of(incarnation) else {
             return ProbeOutcome::Alive;
         };
-        let holder = node_name(life);
-        let mut others = self.in_order(Reach::Anywhere).into_iter();
+        let holder = node_name(incarnation);
+        let mut others = self.by_preference(RelayScope::Anywhere).into_iter();
         let Some((_, other)) = others.rfind(|(name, _)| name != holder) else {
             return ProbeOutcome::Alive;
         };
         let message = encode(&ProbeCall {
             version: MESSAGE_VERSION,
             token: other.token.clone(),
-            life: life.clone(),
+            life: incarnation.clone(),
             address,
         });
         let request = (Method::POST, PROBE_PATH, message);
-        let time = PROBE_TIME * 2;
+        let timeout = PROBE_TIMEOUT * 2;
         let answer = self
-            .send_repeatable(other.address, request, time)
+            .send_idempotent(other.address, request, timeout)
             .await
             .ok();
-        let seen = answer.and_then(|answer| decode(&answer));
-        seen.unwrap_or(ProbeOutcome::Alive)
+        let outcome = answer.and_then(|answer| decode(&answer));
+        outcome.unwrap_or(ProbeOutcome::Alive)
     }
 
-    /// True if this node is among the few of these regions that watch over the holder of a
-    /// lease. Which ones they are changes with each term; small machines are not among them,
-    /// and those near the table go before others: one of them becomes the next holder, and
-    /// an owner near the table opens batches and lists results two to six answers sooner.
-    pub(crate) fn watches_over(
+    /// Returns whether this node is one of the few in these regions that probe the holder of a
+    /// lease. The selection changes with each term. Only nodes of candidate rank 0 are
+    /// selected, and nodes near the table first: one of the watchers becomes the next holder,
+    /// which opens batches and lists results sooner with short response times.
+    pub(crate) fn is_watcher_of(
         &self,
         holder: &NodeId,
         epoch: Epoch,
@@ -123,21 +119,22 @@
     }
 }
 
-/// A node that may watch over a holder and become the next one.
+/// A node that may probe a holder and become the next one.
 #[derive(Clone, Copy, Debug)]
 struct Candidate<'a> {
     name: &'a str,
-    /// How long an ordinary answer of the table takes to reach it, in microseconds.
+    /// Usual response time of the table in microseconds.
     table_time_us: Option<u64>,
 }
 
-/// The nodes that watch in a term: drawn by its epoch, of those near the table first.
+/// Selects the watchers of a term: a pseudo-random choice by epoch, with nodes near the table
+/// first.
 fn draw_watchers(mut candidates: Vec<Candidate<'_>>, epoch: Epoch) -> Vec<&str> {
     let times = candidates.iter().map(|candidate| candidate.table_time_us);
     let nearest = times.flatten().min().unwrap_or_default();
     candidates.sort_by_cached_key(|candidate| {
-        let time = candidate.table_time_us;
-        let is_near = time.is_some_and(|time| time <= nearest * NEAR_FACTOR);
+        let response_time = candidate.table_time_us;
+        let is_near = response_time.is_some_and(|time| time <= nearest * NEAR_FACTOR);
         let rank = digest(format!("{}/{}", epoch.0, candidate.name).as_bytes());
         (!is_near, rank)
     });
--- a/crates/sloetrail-serving/src/relay/probe/tests.rs
+++ b/crates/sloetrail-serving/src/relay/probe/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn nodes_near_the_table_watch_and_take_turns() {
+fn watchers_are_drawn_from_nodes_near_the_table() {
     let names = names(30);
     let mut drawn = BTreeSet::new();
     for epoch in 1..40 {
@@ -30,11 +30,11 @@
     }
     let far = drawn.iter().filter(|name| !names[..10].contains(name));
     assert_eq!(far.count(), 0);
-    assert_eq!(drawn.len(), 10, "each epoch draws others");
+    assert_eq!(drawn.len(), 10, "each epoch draws different watchers");
 }
 
 #[test]
-fn where_few_are_near_or_nothing_is_known_others_watch_too() {
+fn distant_nodes_watch_when_too_few_are_near() {
     let names = names(6);
     let one_near = candidates(&names, |index| {
         Some(if index == 4 { 5_000 } else { 28_000 })
--- a/crates/sloetrail-serving/src/relay/server.rs
+++ b/crates/sloetrail-serving/src/relay/server.rs
@@ -1,7 +1,7 @@
-//! Answering other nodes: carrying their calls, and telling of lives.
+//! Serves other nodes: relays their calls and answers probes.
 
 use super::message::{
-    CALLS_PATH, CarriedCall, LIFE_PATH, MESSAGE_VERSION, PROBE_PATH, ProbeCall, TableAnswer,
+    CALLS_PATH, INCARNATION_PATH, MESSAGE_VERSION, PROBE_PATH, ProbeCall, RelayedCall, TableAnswer,
     TableCall, decode, encode,
 };
 use super::peers::Peers;
@@ -20,24 +20,23 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Semaphore, SemaphorePermit};
 
-/// Calls that are carried at a time; further ones are turned away.
-const CALLS_MOST: usize = 64;
-/// Bytes of one call: a transaction of the largest size, and its frame.
-const CALL_BYTES: usize = 2 * 1024 * 1024;
-const HEAD_BYTES: usize = 8 * 1024;
+/// Concurrent calls; further ones are refused.
+const MAX_CALLS: usize = 64;
+/// Bounds a transaction of the largest size with its envelope.
+const MAX_CALL_BYTES: usize = 2 * 1024 * 1024;
+const MAX_HEADER_BYTES: usize = 8 * 1024;
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What a node does for others.
 pub(super) struct PeerServer {
-    life: NodeId,
+    incarnation: NodeId,
     direct: Arc<dyn Table>,
     peers: Arc<Peers>,
     token: String,
-    places: Semaphore,
+    slots: Semaphore,
 }
 
 impl PeerServer {
-    /// A server of this life of a node, over its direct way to the table.
+    /// Creates a server that relays calls over the direct connection to the table.
     pub(super) fn new(
         settings: &ServingSettings,
         direct: Arc<dyn Table>,
@@ -45,64 +44,66 @@
         token: String,
     ) -> Self {
         Self {
-            life: settings.instance.clone(),
+            incarnation: settings.instance.clone(),
             direct,
             peers: Arc::clone(peers),
             token,
-            places: Semaphore::new(CALLS_MOST),
+            slots: Semaphore::new(MAX_CALLS),
         }
     }
 
-    /// Answers until the process ends.
+    /// Serves until the process ends.
     pub(super) async fn serve(self, listener: TcpListener) {
         let server = Arc::new(self);
         let settings = || ListenerSettings {
-            header_bytes: HEAD_BYTES,
+            header_bytes: MAX_HEADER_BYTES,
             idle_timeout: IDLE_TIMEOUT,
         };
         let tracker = ConnectionTracker::default();
-        let answering = move |request| {
+        let handler = move |request| {
             let server = Arc::clone(&server);
             async move { server.answer(request).await }
         };
-        serve_connections(listener, settings, tracker, answering).await;
+        serve_connections(listener, settings, tracker, handler).await;
     }
 
     async fn answer(&self, request: Request<Incoming>) -> CallerResponse {
-        let answered = match request.uri().path() {
-            LIFE_PATH => Ok(Response::new(whole_body(self.life.as_str().to_owned()))),
-            CALLS_PATH => self.carry_call(request).await,
-            PROBE_PATH => self.probe_another(request).await,
+        let response = match request.uri().path() {
+            INCARNATION_PATH => Ok(Response::new(whole_body(
+                self.incarnation.as_str().to_owned(),
+            ))),
+            CALLS_PATH => self.relay_call(request).await,
+            PROBE_PATH => self.probe_for_peer(request).await,
             _ => Err(StatusCode::NOT_FOUND),
         };
-        answered.unwrap_or_else(empty_response)
+        response.unwrap_or_else(empty_response)
     }
 
-    async fn carry_call(&self, request: Request<Incoming>) -> Result<CallerResponse, StatusCode> {
-        let _place = self.take_place()?;
+    async fn relay_call(&self, request: Request<Incoming>) -> Result<CallerResponse, StatusCode> {
+        let _slot = self.acquire_slot()?;
         let body = read_body(request).await?;
-        let carried: CarriedCall = decode(&body).ok_or(StatusCode::BAD_REQUEST)?;
-        self.check(carried.version, &carried.token)?;
-        Ok(encoded(&self.carry(&carried.call).await))
+        let relayed: RelayedCall = decode(&body).ok_or(StatusCode::BAD_REQUEST)?;
+        self.check(relayed.version, &relayed.token)?;
+        Ok(encoded(&self.call_table(&relayed.call).await))
     }
 
-    async fn probe_another(
+    async fn probe_for_peer(
         &self,
         request: Request<Incoming>,
     ) -> Result<CallerResponse, StatusCode> {
-        let _place = self.take_place()?;
+        let _slot = self.acquire_slot()?;
         let body = read_body(request).await?;
         let probe: ProbeCall = decode(&body).ok_or(StatusCode::BAD_REQUEST)?;
         self.check(probe.version, &probe.token)?;
         Ok(encoded(&self.peers.probe(&probe.life, probe.address).await))
     }
 
-    fn take_place(&self) -> Result<SemaphorePermit<'_>, StatusCode> {
-        let place = self.places.try_acquire();
-        place.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)
+    fn acquire_slot(&self) -> Result<SemaphorePermit<'_>, StatusCode> {
+        let slot = self.slots.try_acquire();
+        slot.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)
     }
 
-    /// Refuses messages of another version, and of those who have not read the token.
+    /// Refuses messages of another version or without this node's token.
     fn check(&self, version: u8, token: &str) -> Result<(), StatusCode> {
         match version == MESSAGE_VERSION && token == self.token {
             true => Ok(()),
@@ -110,9 +111,9 @@
         }
     }
 
-    async fn carry(&self, call: &TableCall) -> TableAnswer {
+    async fn call_table(&self, call: &TableCall) -> TableAnswer {
         if !self.direct.is_answering() {
-            return call.not_made();
+            return call.not_sent();
         }
         match call {
             TableCall::Commit(transaction) => {
@@ -132,7 +133,7 @@
 }
 
 async fn read_body(request: Request<Incoming>) -> Result<Bytes, StatusCode> {
-    let body = Limited::new(request.into_body(), CALL_BYTES)
+    let body = Limited::new(request.into_body(), MAX_CALL_BYTES)
         .collect()
         .await;
     let body = body.map_err(|_| StatusCode::BAD_REQUEST)?;
--- a/crates/sloetrail-serving/src/relay/table.rs
+++ b/crates/sloetrail-serving/src/relay/table.rs
@@ -1,4 +1,4 @@
-//! The table, reached directly or with the help of another node.
+//! A table client that falls back to peers while the table does not answer this node.
 
 use super::message::{TableAnswer, TableCall};
 use super::peers::Peers;
@@ -10,48 +10,47 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The table as a node reaches it that has others carry its calls while it cannot.
+/// Calls the table directly, or through a peer while it does not answer.
 pub(super) struct RelayedTable {
     direct: Arc<dyn Table>,
     peers: Arc<Peers>,
 }
 
 impl RelayedTable {
-    /// The table over a direct way, with peers to help out.
     pub(super) fn new(direct: Arc<dyn Table>, peers: Arc<Peers>) -> Self {
         Self { direct, peers }
     }
 
-    /// The answer that a peer gets, if the direct way is known not to work.
-    async fn carried(&self, call: impl FnOnce() -> TableCall) -> Option<TableAnswer> {
+    /// Returns the answer obtained by a peer, if the table is known not to answer directly.
+    async fn try_relay(&self, call: impl FnOnce() -> TableCall) -> Option<TableAnswer> {
         if self.direct.is_answering() {
-            self.peers.note_direct();
+            self.peers.record_direct_answer();
             return None;
         }
-        self.peers.carry(call()).await
+        self.peers.relay(call()).await
     }
 
-    /// True if peers of other regions carry calls and those of the own region cannot.
-    fn is_alone_in_region(&self) -> bool {
-        !self.direct.is_answering() && self.peers.are_far_away()
+    /// Returns whether peers of other regions relay calls but none of the own region can.
+    fn lacks_regional_access(&self) -> bool {
+        !self.direct.is_answering() && self.peers.lacks_regional_relay()
     }
 
-    /// A read by a peer, if the direct way is known not to work; otherwise directly, and
-    /// by a peer if the direct way turns out not to work meanwhile.
+    /// Reads through a peer if the table is known not to answer directly. Otherwise reads
+    /// directly, and falls back to a peer if the table stops answering meanwhile.
     async fn read<Answer>(
         &self,
         call: impl Fn() -> TableCall + Send,
         direct: impl Future<Output = Result<Answer, ReadError>> + Send,
         answer_of: impl Fn(TableAnswer) -> Option<Result<Answer, ReadError>> + Send,
     ) -> Result<Answer, ReadError> {
-        if let Some(answer) = self.carried(&call).await.and_then(&answer_of) {
+        if let Some(answer) = self.try_relay(&call).await.and_then(&answer_of) {
             return answer;
         }
         tokio::select! {
             answer = direct => answer,
             () = self.direct.absence() => {
-                let carried = self.peers.carry(call()).await;
-                carried.and_then(&answer_of).unwrap_or(Err(ReadError::Unavailable))
+                let relayed = self.peers.relay(call()).await;
+                relayed.and_then(&answer_of).unwrap_or(Err(ReadError::Unavailable))
             }
         }
     }
@@ -72,12 +71,12 @@
     }
 
     fn is_answering(&self) -> bool {
-        self.direct.is_answering() || self.peers.is_helping()
+        self.direct.is_answering() || self.peers.has_relay()
     }
 
     fn is_isolated(&self) -> bool {
-        let is_cut_off = !self.direct.is_answering() && self.peers.are_silent();
-        is_cut_off || self.is_alone_in_region()
+        let is_cut_off = !self.direct.is_answering() && self.peers.are_unresponsive();
+        is_cut_off || self.lacks_regional_access()
     }
 
     async fn absence(&self) {
@@ -88,13 +87,14 @@
         self.direct.returned().await;
     }
 
-    /// A transaction that no peer of the region can carry while others help is not done: the
-    /// direct way is known not to work, and its outcome there would be unknown.
+    /// A transaction that no peer of the region can relay, while peers elsewhere can, fails as
+    /// not done: a direct attempt would most likely get no answer and leave its outcome
+    /// unknown.
     async fn commit(&self, transaction: &Transaction) -> Result<Commit, CommitError> {
         let call = || TableCall::Commit(transaction.clone());
-        match self.carried(call).await {
+        match self.try_relay(call).await {
             Some(TableAnswer::Commit(answer)) => answer,
-            _ if self.is_alone_in_region() => Err(CommitError::NotDone),
+            _ if self.lacks_regional_access() => Err(CommitError::NotDone),
             _ => self.direct.commit(transaction).await,
         }
     }
--- a/crates/sloetrail-serving/tests/back_end_restarts.rs
+++ b/crates/sloetrail-serving/tests/back_end_restarts.rs
@@ -1,4 +1,4 @@
-//! Back ends that start again under the name that they had.
+//! Back ends that restart under the same name.
 
 mod support;
 
@@ -10,26 +10,26 @@
 use std::time::{Duration, Instant};
 use support::{assert_each_once, items, live, native_cluster};
 
-const PACE: Duration = Duration::from_millis(5);
-/// Far shorter than the time after which a silent engine counts as lost.
-const AT_ONCE: Duration = Duration::from_millis(1_000);
+const EVENT_INTERVAL: Duration = Duration::from_millis(5);
+/// Far below the timeout of an unresponsive engine.
+const MAX_DETECTION_TIME: Duration = Duration::from_millis(1_000);
 
-/// Restarts an engine under its name, and lists it.
+/// Restarts an engine under the same name, and lists it.
 async fn restart(
     cluster: &mut Cluster,
     engine: &EngineStandIn,
     clock_jump_ms: i64,
 ) -> Arc<EngineStandIn> {
-    let again = engine.restart(clock_jump_ms).await;
-    cluster.engines.push(Arc::clone(&again));
-    cluster.list(&again);
-    again
+    let restarted = engine.restart(clock_jump_ms).await;
+    cluster.engines.push(Arc::clone(&restarted));
+    cluster.list(&restarted);
+    restarted
 }
 
 async fn small_cluster() -> (Cluster, Arc<EngineStandIn>) {
     let mut cluster = native_cluster();
     cluster.add_application("zone-a").await;
-    let engine = cluster.add_engine(PACE).await;
+    let engine = cluster.add_engine(EVENT_INTERVAL).await;
     let node = cluster.add_node("node-1").await;
     cluster.wait_ready(node).await;
     (cluster, engine)
@@ -48,50 +48,55 @@
         .collect()
 }
 
-/// The engine holds its newest version in one life and the first one in the next, under the same
-/// name and with its entry never gone; its items must be made by what it holds.
+/// An engine that restarts under the same name loses its loaded weight version. Guards against
+/// dispatching items by the version of the previous incarnation.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_the_life_before_held_is_not_believed_of_the_next() {
+async fn restarted_engine_gets_its_weights_ordered_again() {
     let (mut cluster, engine) = small_cluster().await;
     cluster.publish(2);
     submit(&cluster, "b1", 2, 4).await;
     cluster.wait_results(0, "b1", 2).await;
-    let is_new = || async { (engine.version(MODEL) == 2).then_some(()) };
-    eventually("the engine has the new version", is_new).await;
+    let is_updated = || async { (engine.version(MODEL) == 2).then_some(()) };
+    eventually("the engine has the new version", is_updated).await;
     let orders_before = engine.orders().len();
-    let again = restart(&mut cluster, &engine, 0).await;
-    assert_eq!(again.version(MODEL), 1);
+    let restarted = restart(&mut cluster, &engine, 0).await;
+    assert_eq!(restarted.version(MODEL), 1);
     let work = batch(&items(2, 4), MODEL, 2);
     let answer = cluster.submit(0, "b2", &work).await.expect("an answer");
     assert_eq!(answer.status, 202);
     let results = cluster.wait_results(0, "b2", 2).await;
     assert_each_once(&results, 2);
     for versions in versions(&results) {
-        assert_eq!(versions, serde_json::json!([2]), "ordered anew");
+        assert_eq!(
+            versions,
+            serde_json::json!([2]),
+            "weights are ordered again"
+        );
     }
-    assert!(orders_before > 0 && !again.orders().is_empty());
+    assert!(orders_before > 0 && !restarted.orders().is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_restart_in_the_middle_of_texts_ends_their_runs_at_once() {
+async fn restart_during_generation_ends_its_runs_promptly() {
     for clock_jump_ms in [0, -5_000_000] {
         let (mut cluster, engine) = small_cluster().await;
         engine.set_fault(EngineFault::Silent, None);
         submit(&cluster, "b1", 3, 6).await;
-        let has_begun = || async { (engine.runs().len() >= 3).then_some(()) };
-        eventually("the items are there", has_begun).await;
-        let began = Instant::now();
+        let are_running = || async { (engine.runs().len() >= 3).then_some(()) };
+        eventually("the items are running", are_running).await;
+        let started_at = Instant::now();
         restart(&mut cluster, &engine, clock_jump_ms).await;
         let results = cluster.wait_results(0, "b1", 3).await;
         assert_each_once(&results, 3);
-        let took = began.elapsed();
-        assert!(took < AT_ONCE, "{took:?}, clock {clock_jump_ms}");
+        let took = started_at.elapsed();
+        assert!(took < MAX_DETECTION_TIME, "{took:?}, clock {clock_jump_ms}");
     }
 }
 
-/// The connections of the life before stay silent: only the directory tells of its end.
+/// Guards against waiting for a timeout when only the directory shows that the incarnation has
+/// ended.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_life_whose_connections_stay_silent_is_not_waited_for() {
+async fn request_ends_promptly_once_a_newer_incarnation_is_listed() {
     let mut cluster = native_cluster();
     let engine = cluster.add_application("zone-a").await;
     let node = cluster.add_node("node-1").await;
@@ -99,9 +104,10 @@
     engine.set_fault(EngineFault::Silent, None);
     let asking = live(&cluster, 0, "/once/x", "r1");
     let restarting = async {
-        let has_come = || async { (!engine.runs().is_empty()).then_some(()) };
-        eventually("the request is there", has_come).await;
-        // Listed again with another start, at a port of its own; the old one goes on as it is.
+        let is_running = || async { (!engine.runs().is_empty()).then_some(()) };
+        eventually("the request is running", is_running).await;
+        // List the name with a new start time and another port; the previous incarnation keeps
+        // running.
         let mut listing = engine.listing();
         listing.started_ms += 1;
         let value = serde_json::json!({
@@ -111,15 +117,19 @@
         let address = sloetrail_serving::table::RowAddress::new("back_ends", "", &engine.id);
         cluster.table.write(address, value.to_string());
     };
-    let began = Instant::now();
+    let started_at = Instant::now();
     let (answer, ()) = tokio::join!(asking, restarting);
-    let took = began.elapsed();
-    assert_eq!(answer.expect("an answer").status, 502, "it may have run");
-    assert!(took < AT_ONCE, "{took:?}");
+    let took = started_at.elapsed();
+    assert_eq!(
+        answer.expect("an answer").status,
+        502,
+        "the request may have run"
+    );
+    assert!(took < MAX_DETECTION_TIME, "{took:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn late_news_of_the_life_before_does_not_bring_it_back() {
+async fn late_row_of_an_ended_incarnation_is_ignored() {
     let (mut cluster, _) = small_cluster().await;
     let first = cluster.add_application("zone-a").await;
     let others = cluster.engines.clone();
@@ -132,7 +142,7 @@
         let answer = live(&cluster, 0, "/live/x", "sound").await?;
         (answer.status == 200 && !first.runs().is_empty()).then_some(())
     };
-    eventually("the first life serves", is_served).await;
+    eventually("the first incarnation serves", is_served).await;
     let second = restart(&mut cluster, &first, 0).await;
     let serves = |id: &'static str| {
         let (cluster, second) = (&cluster, &second);
@@ -142,10 +152,11 @@
             (answer.status == 200 && second.runs().len() > before).then_some(())
         }
     };
-    eventually("the second life serves", serves("second")).await;
-    // It serves under the entry of the first life too; the node has to have read its own.
+    eventually("the second incarnation serves", serves("second")).await;
+    // It already serves under the row of the first incarnation; wait until the node has read
+    // its own row.
     tokio::time::sleep(Duration::from_millis(300)).await;
-    // A heartbeat of the first life arrives late, and says that it leaves.
+    // A late heartbeat of the first incarnation announces that it leaves.
     first.set_draining();
     cluster.list(&first);
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -154,11 +165,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn two_restarts_within_a_second_and_one_while_the_node_stands_still() {
+async fn repeated_restarts_and_a_frozen_node_lose_no_item() {
     let (mut cluster, engine) = small_cluster().await;
     submit(&cluster, "b1", 4, 60).await;
-    let has_begun = || async { (engine.runs().len() >= 4).then_some(()) };
-    eventually("the items are there", has_begun).await;
+    let are_running = || async { (engine.runs().len() >= 4).then_some(()) };
+    eventually("the items are running", are_running).await;
     let second = restart(&mut cluster, &engine, 0).await;
     let third = restart(&mut cluster, &second, 0).await;
     cluster.nodes[0].freeze(Duration::from_millis(1_500));
@@ -168,18 +179,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_restart_behind_a_cut_from_the_table_is_met_with_a_true_refusal_or_an_answer() {
+async fn restart_unknown_to_the_table_yields_an_accurate_status() {
     let (mut cluster, _) = small_cluster().await;
     let application = cluster.engines[0].clone();
     let answer = live(&cluster, 0, "/once/x", "before").await;
     assert_eq!(answer.expect("an answer").status, 200);
-    // Its entry stays as it was: the table does not hear of the restart.
-    let again = application.restart(0).await;
-    cluster.engines.push(Arc::clone(&again));
+    // Its row is unchanged: the table does not learn of the restart.
+    let restarted = application.restart(0).await;
+    cluster.engines.push(Arc::clone(&restarted));
     for number in 0..10 {
         let id = format!("cut-{number}");
         let answer = live(&cluster, 0, "/once/x", &id).await.expect("an answer");
-        let runs = again.runs_of(&id).len() + application.runs_of(&id).len();
+        let runs = restarted.runs_of(&id).len() + application.runs_of(&id).len();
         assert!(runs <= 1, "{id}: {runs}");
         let promises_not_run = answer.status == 503;
         assert_eq!(promises_not_run, runs == 0, "{id}: {}", answer.status);
@@ -187,10 +198,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_crash_is_known_also_if_the_back_end_is_back_before_anybody_looks() {
+async fn crash_is_counted_when_the_back_end_restarts_at_once() {
     const LETHAL: &str = "a reading that ends its server";
     let mut cluster = native_cluster();
-    let mut life = cluster.add_application("zone-a").await;
+    let mut back_end = cluster.add_application("zone-a").await;
     let node = cluster.add_node("node-1").await;
     cluster.wait_ready(node).await;
     let ask = |cluster: &Cluster, id: &str| {
@@ -208,27 +219,27 @@
         async move { call.send(address).await }
     };
     for number in 0..3 {
-        life.set_pace(Duration::from_millis(200));
+        back_end.set_pace(Duration::from_millis(200));
         let id = format!("r{number}");
         let asking = tokio::spawn(ask(&cluster, &id));
-        let has_come = || async { (!life.runs_of(&id).is_empty()).then_some(()) };
-        eventually("the request is there", has_come).await;
-        life = restart(&mut cluster, &life, 0).await;
-        asking.await.expect("it ends");
+        let is_running = || async { (!back_end.runs_of(&id).is_empty()).then_some(()) };
+        eventually("the request is running", is_running).await;
+        back_end = restart(&mut cluster, &back_end, 0).await;
+        asking.await.expect("the request ends");
         let serves = || async {
             let answer = live(&cluster, 0, "/live/x", "sound").await?;
             (answer.status == 200).then_some(())
         };
-        eventually("the new life serves", serves).await;
+        eventually("the new incarnation serves", serves).await;
     }
     let answer = ask(&cluster, "held").await.expect("an answer");
     assert_eq!(answer.json()["code"], 1111, "{}", answer.text());
 }
 
-/// Entries of another writer beside those of sound back ends: of another form, with the address of
-/// another one, of a service that nobody named, of absurd length.
+/// Rows that other writers left in the directory (malformed, with the address of another back
+/// end, for an unknown service, oversized) must not affect valid back ends.
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_of_other_writers_name_no_back_end_and_the_others_hold() {
+async fn invalid_directory_rows_do_not_affect_valid_back_ends() {
     let (cluster, engine) = small_cluster().await;
     let application = cluster.engines[0].clone();
     let taken = application.address().to_string();
@@ -239,7 +250,7 @@
         })
         .to_string()
     };
-    let spoilt = [
+    let invalid = [
         String::new(),
         "{".repeat(10_000),
         "[1, 2]".to_owned(),
@@ -252,7 +263,7 @@
         entry("models", "127.0.0.1:9", Value::from(u64::MAX)),
     ];
     for round in 0..20 {
-        for (number, value) in spoilt.iter().enumerate() {
+        for (number, value) in invalid.iter().enumerate() {
             let key = match number % 2 {
                 0 => format!("spoilt-{number}"),
                 _ => format!("spoilt-{number}-{}", "y".repeat(150)),
@@ -271,24 +282,24 @@
     assert!(!engine.runs().is_empty());
 }
 
-/// The entry of an engine turns unreadable while it runs items: it gets no more of them, and what
-/// it runs goes on to its end, for an entry says nothing of a run.
+/// An engine whose row becomes unreadable gets no new items, but its runs continue: the row
+/// says nothing about them.
 #[tokio::test(flavor = "multi_thread")]
-async fn work_goes_on_where_an_entry_turns_unreadable() {
+async fn unreadable_row_stops_new_items_but_not_runs() {
     let (mut cluster, engine) = small_cluster().await;
     engine.set_pace(Duration::from_millis(30));
     submit(&cluster, "b1", 2, 40).await;
-    let has_begun = || async { (engine.runs().len() == 2).then_some(()) };
-    eventually("the items are there", has_begun).await;
+    let are_running = || async { (engine.runs().len() == 2).then_some(()) };
+    eventually("the items are running", are_running).await;
     let address = sloetrail_serving::table::RowAddress::new("back_ends", "", &engine.id);
     cluster.table.write(address, "{\"service\":7");
     let results = cluster.wait_results(0, "b1", 2).await;
     assert_each_once(&results, 2);
-    assert_eq!(engine.runs().len(), 2, "no run was begun anew");
+    assert_eq!(engine.runs().len(), 2, "no run was restarted");
     submit(&cluster, "b2", 1, 4).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    assert_eq!(engine.runs().len(), 2, "it gets no more");
-    cluster.add_engine(PACE).await;
+    assert_eq!(engine.runs().len(), 2, "the engine gets no new items");
+    cluster.add_engine(EVENT_INTERVAL).await;
     let results = cluster.wait_results(0, "b2", 1).await;
     assert_each_once(&results, 1);
 }
--- a/crates/sloetrail-serving/tests/relay.rs
+++ b/crates/sloetrail-serving/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Calls to the table that other nodes carry.
+//! Relaying of table calls between nodes.
 
 mod support;
 
@@ -13,11 +13,12 @@
 use std::time::Duration;
 use support::{assert_each_once, client_cluster, items, lease, lease_holder};
 
-/// As on an ordinary deployment: an absence of the table is known after 0.4 s.
+/// Long enough that the node detects the outage and relays its renewal before the lease
+/// expires.
 const LEASE_MS: u64 = 1_500;
 const NODES: [&str; 3] = ["node-1", "node-2", "node-3"];
 
-/// Three nodes that carry calls for one another, ready, with their rows known.
+/// Three ready nodes that have registered as peers and read each other's rows.
 async fn cluster_of_peers() -> Cluster {
     let mut cluster = client_cluster();
     cluster.peers = true;
@@ -29,18 +30,18 @@
         let node = cluster.add_node(name).await;
         cluster.wait_ready(node).await;
     }
-    let are_known = || async {
+    let are_registered = || async {
         let rows = cluster.table.rows("sloetrail_nodes");
         (rows.len() == NODES.len()).then_some(())
     };
-    eventually("every node has its row", are_known).await;
-    // The nodes look at the rows every few seconds.
+    eventually("every node is registered", are_registered).await;
+    // The nodes poll the rows every few seconds.
     tokio::time::sleep(Duration::from_millis(5_500)).await;
     cluster
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_that_only_the_table_does_not_answer_stays_the_owner() {
+async fn owner_cut_off_from_the_table_keeps_its_lease() {
     let cluster = cluster_of_peers().await;
     let owner = lease_holder(&cluster).await;
     let other = (owner + 1) % NODES.len();
@@ -55,12 +56,9 @@
     let results = cluster.wait_results(other, "b1", 10).await;
     assert_each_once(&results, 10);
     let after = lease(&cluster).expect("a lease");
-    assert_eq!(
-        after["epoch"], before["epoch"],
-        "nobody took the lease over"
-    );
+    assert_eq!(after["epoch"], before["epoch"], "the lease was taken over");
     let runs = cluster.engines.iter().flat_map(|engine| engine.runs());
-    assert!(runs.count() <= 14, "texts were not begun anew");
+    assert!(runs.count() <= 14, "runs were restarted");
     let holders: BTreeSet<String> = cluster
         .engines
         .iter()
@@ -71,23 +69,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_the_table_does_not_answer_takes_and_reads_batches() {
+async fn node_cut_off_from_the_table_serves_batches() {
     let cluster = cluster_of_peers().await;
     let cut = (lease_holder(&cluster).await + 1) % NODES.len();
     cluster.nodes[cut].link.set_cut(true);
-    let is_taken = || async {
+    let is_accepted = || async {
         let answer = cluster
             .submit(cut, "b1", &batch(&items(6, 5), MODEL, 1))
             .await?;
         (answer.status == 202).then_some(())
     };
-    eventually("the batch is taken", is_taken).await;
+    eventually("the batch is accepted", is_accepted).await;
     assert_each_once(&cluster.wait_results(cut, "b1", 6).await, 6);
     assert_eq!(cluster.end(cut, "b1").await.expect("an answer").status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn when_the_table_answers_nobody_peers_do_not_help_and_all_goes_on_after() {
+async fn batches_are_refused_during_a_full_outage_and_accepted_afterwards() {
     let cluster = cluster_of_peers().await;
     for node in &cluster.nodes {
         node.link.set_cut(true);
@@ -101,32 +99,32 @@
     for node in &cluster.nodes {
         node.link.set_cut(false);
     }
-    let is_taken = || async {
+    let is_accepted = || async {
         let answer = cluster
             .submit(0, "b1", &batch(&items(3, 5), MODEL, 1))
             .await?;
         (answer.status == 202).then_some(())
     };
-    eventually("the batch is taken", is_taken).await;
+    eventually("the batch is accepted", is_accepted).await;
     assert_each_once(&cluster.wait_results(1, "b1", 3).await, 3);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_is_cut_off_alone_sends_batches_elsewhere_at_once() {
+async fn isolated_node_refuses_batches_promptly() {
     let mut cluster = cluster_of_peers().await;
     cluster.nodes[1].kill();
     cluster.nodes[2].kill();
     cluster.nodes[0].link.set_cut(true);
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    let watch = Stopwatch::start();
+    let stopwatch = Stopwatch::start();
     let refused = cluster
         .submit(0, "b1", &batch(&items(3, 5), MODEL, 1))
         .await
         .expect("an answer");
     assert_eq!(refused.status, 503, "{}", refused.text());
     assert!(
-        watch.elapsed() < Duration::from_millis(500),
-        "another node could take it, so its caller is not kept waiting"
+        stopwatch.elapsed() < Duration::from_millis(500),
+        "the caller was kept waiting although another node could accept the batch"
     );
     assert!(refused.headers.contains_key("retry-after"));
 }
@@ -135,11 +133,11 @@
 struct ForeignCall {
     version: u8,
     token: String,
-    call: ForeignQuestion,
+    call: ForeignTableCall,
 }
 
 #[derive(Serialize)]
-enum ForeignQuestion {
+enum ForeignTableCall {
     Changes {
         table: String,
         since: u64,
@@ -151,19 +149,19 @@
     let call = ForeignCall {
         version,
         token: token.to_owned(),
-        call: ForeignQuestion::Changes {
+        call: ForeignTableCall::Changes {
             table: "sloetrail_leases".to_owned(),
             since: 0,
             wait_ms: 0,
         },
     };
     let mut bytes = Vec::new();
-    ciborium::into_writer(&call, &mut bytes).expect("memory takes every write");
+    ciborium::into_writer(&call, &mut bytes).expect("writing to memory does not fail");
     bytes
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn calls_are_carried_only_for_who_shows_the_token_in_the_table() {
+async fn calls_without_the_registered_token_are_refused() {
     let cluster = cluster_of_peers().await;
     let rows = cluster.table.rows("sloetrail_nodes");
     let entry: Value = serde_json::from_slice(&rows[0].value).expect("an entry");
