--- a/crates/sloetrail-serving/src/gateway/attempt.rs
+++ b/crates/sloetrail-serving/src/gateway/attempt.rs
@@ -15,7 +15,7 @@
 
 /// A request as it goes to a back end, without what an attempt adds.
 #[derive(Clone, Debug)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingRequest {
     pub(crate) request_id: String,
     pub(crate) method: Method,
     pub(crate) path_and_query: String,
@@ -39,11 +39,11 @@
     /// The request did not leave this node.
     NotSent,
     /// The request did not leave this node: its back end takes no work any more.
-    HeldBack,
+    Withheld,
     /// The connection broke, or the answer was cut, unsigned or of another request.
     Lost,
     /// No answer came in time.
-    OutOfTime,
+    TimedOut,
     /// The answer is over the bound.
     TooLarge,
 }
@@ -58,8 +58,8 @@
             AttemptResult::WrongInstance | AttemptResult::NotSent | AttemptResult::Lost => {
                 AttemptOutcome::Lost
             }
-            AttemptResult::OutOfTime => AttemptOutcome::Failed,
-            AttemptResult::HeldBack => AttemptOutcome::Abandoned,
+            AttemptResult::TimedOut => AttemptOutcome::Failed,
+            AttemptResult::Withheld => AttemptOutcome::Abandoned,
         }
     }
 
@@ -70,13 +70,13 @@
             AttemptResult::NotRun
                 | AttemptResult::WrongInstance
                 | AttemptResult::NotSent
-                | AttemptResult::HeldBack
+                | AttemptResult::Withheld
         )
     }
 
     /// True if nothing came back: the connection may have fallen silent, and others with it.
     pub(crate) fn is_silence(&self) -> bool {
-        matches!(self, AttemptResult::OutOfTime)
+        matches!(self, AttemptResult::TimedOut)
     }
 
     /// A word for logs.
@@ -87,9 +87,9 @@
             AttemptResult::NotRun => "not run",
             AttemptResult::WrongInstance => "wrong instance",
             AttemptResult::NotSent => "not sent",
-            AttemptResult::HeldBack => "held back",
+            AttemptResult::Withheld => "held back",
             AttemptResult::Lost => "lost",
-            AttemptResult::OutOfTime => "out of time",
+            AttemptResult::TimedOut => "out of time",
             AttemptResult::TooLarge => "too large",
         }
     }
@@ -98,7 +98,7 @@
 /// Builds the request of one attempt: the back end's life, the time left and the
 /// rank are added.
 pub(crate) fn build_request(
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     back_end: &BackEnd,
     names: &HeaderNames,
     deadline: BootInstant,
@@ -117,7 +117,7 @@
 /// Sends one attempt and reads its whole answer.
 pub(crate) async fn attempt(
     context: &NodeContext,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     passage: &Passage,
     back_end: &Arc<BackEnd>,
     reuse: Reuse,
@@ -136,7 +136,7 @@
 
 async fn exchange_whole(
     context: &NodeContext,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     passage: &Passage,
     back_end: &BackEnd,
     reuse: Reuse,
@@ -150,20 +150,20 @@
     let sending = connections.send(back_end, request, Some(passage), reuse, deadline);
     let exchange = match sending.await {
         Ok(exchange) => exchange,
-        Err(failure) => return judge_failure(failure),
+        Err(failure) => return classify_failure(failure),
     };
-    if let Some(result) = judge_head(exchange.status, &exchange.headers, names, outgoing) {
-        return settle_by_head(exchange, result);
+    if let Some(result) = classify_head(exchange.status, &exchange.headers, names, outgoing) {
+        return finish_exchange(exchange, result);
     }
     match exchange.whole(context.answer_limit(), deadline).await {
-        Ok(answer) => judge_answer(answer, names),
-        Err(failure) => judge_failure(failure),
+        Ok(answer) => classify_answer(answer, names),
+        Err(failure) => classify_failure(failure),
     }
 }
 
 /// Ends an exchange of which the head has settled the result. The connection over which a back
 /// end has refused is kept.
-pub(crate) fn settle_by_head(exchange: Exchange, result: AttemptResult) -> AttemptResult {
+pub(crate) fn finish_exchange(exchange: Exchange, result: AttemptResult) -> AttemptResult {
     if matches!(result, AttemptResult::NotRun) {
         exchange.discard();
     }
@@ -172,11 +172,11 @@
 
 /// What the head alone settles: an answer to another request, or one that says that
 /// the request was not run.
-pub(crate) fn judge_head(
+pub(crate) fn classify_head(
     status: StatusCode,
     head: &HeaderMap,
     names: &HeaderNames,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
 ) -> Option<AttemptResult> {
     if status == StatusCode::MISDIRECTED_REQUEST {
         return Some(AttemptResult::WrongInstance);
@@ -189,7 +189,7 @@
 }
 
 /// What a whole answer says: a failure, or something that the caller may have.
-pub(crate) fn judge_answer(answer: WholeAnswer, names: &HeaderNames) -> AttemptResult {
+pub(crate) fn classify_answer(answer: WholeAnswer, names: &HeaderNames) -> AttemptResult {
     let is_signed = answer.headers.contains_key(&names.signature);
     if answer.status.is_success() && !is_signed {
         return AttemptResult::Lost;
@@ -203,12 +203,12 @@
     }
 }
 
-pub(crate) fn judge_failure(failure: SendFailure) -> AttemptResult {
+pub(crate) fn classify_failure(failure: SendFailure) -> AttemptResult {
     match failure {
         SendFailure::NotSent => AttemptResult::NotSent,
-        SendFailure::HeldBack => AttemptResult::HeldBack,
+        SendFailure::HeldBack => AttemptResult::Withheld,
         SendFailure::Lost => AttemptResult::Lost,
-        SendFailure::OutOfTime | SendFailure::KeptSilent => AttemptResult::OutOfTime,
+        SendFailure::OutOfTime | SendFailure::KeptSilent => AttemptResult::TimedOut,
         SendFailure::TooLarge => AttemptResult::TooLarge,
     }
 }
--- a/crates/sloetrail-serving/src/gateway/batch_call.rs
+++ b/crates/sloetrail-serving/src/gateway/batch_call.rs
@@ -1,9 +1,9 @@
 //! Calls about batches that were submitted before: their results, the bodies of their
 //! items, and their end.
 
-use super::caller::{self, KeyDemand};
+use super::caller::{self, ApiKeyRequirement};
 use super::headers;
-use super::message::{CallerResponse, problem_response};
+use super::response::{CallerResponse, problem_response};
 use super::{read, submit};
 use crate::context::NodeContext;
 use http::request::Parts;
@@ -75,10 +75,11 @@
         configuration: &ServingConfiguration,
         headers: &HeaderMap,
     ) -> CallerResponse {
-        let caller = match caller::identify(context, configuration, headers, KeyDemand::Needed) {
-            Ok(caller) => caller,
-            Err(problem) => return problem_response(&problem),
-        };
+        let caller =
+            match caller::identify(context, configuration, headers, ApiKeyRequirement::Required) {
+                Ok(caller) => caller,
+                Err(problem) => return problem_response(&problem),
+            };
         let caller = caller.as_deref();
         match self {
             BatchCall::End { id } => submit::end(context, id, caller).await,
--- a/crates/sloetrail-serving/src/gateway/body_budget.rs
+++ b/crates/sloetrail-serving/src/gateway/body_budget.rs
@@ -12,7 +12,7 @@
 
 /// Bytes of one body; given back when dropped.
 #[derive(Debug)]
-pub(crate) struct HeldBytes {
+pub(crate) struct BodyReservation {
     budget: BodyBudget,
     bytes: usize,
 }
@@ -27,17 +27,17 @@
     }
 
     /// Begins to hold a body of which nothing has come.
-    pub(crate) fn begin(&self) -> HeldBytes {
-        HeldBytes {
+    pub(crate) fn new_reservation(&self) -> BodyReservation {
+        BodyReservation {
             budget: self.clone(),
             bytes: 0,
         }
     }
 }
 
-impl HeldBytes {
+impl BodyReservation {
     /// Holds more bytes; false if they do not fit.
-    pub(crate) fn grow(&mut self, more: usize) -> bool {
+    pub(crate) fn try_grow(&mut self, more: usize) -> bool {
         let limit = self.budget.limit;
         let fits = |held: usize| held.checked_add(more).filter(|held| *held <= limit);
         let held = &self.budget.held;
@@ -54,7 +54,7 @@
     }
 }
 
-impl Drop for HeldBytes {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
         self.budget.held.fetch_sub(self.bytes, Ordering::SeqCst);
     }
--- a/crates/sloetrail-serving/src/gateway/body_budget/tests.rs
+++ b/crates/sloetrail-serving/src/gateway/body_budget/tests.rs
@@ -3,13 +3,13 @@
 #[test]
 fn bodies_share_the_budget_and_give_it_back() {
     let budget = BodyBudget::new(100);
-    let mut first = budget.begin();
-    let mut second = budget.begin();
-    assert!(first.grow(60) && second.grow(40));
-    assert!(!second.grow(1), "nothing is left");
+    let mut first = budget.new_reservation();
+    let mut second = budget.new_reservation();
+    assert!(first.try_grow(60) && second.try_grow(40));
+    assert!(!second.try_grow(1), "nothing is left");
     assert_eq!((first.bytes(), second.bytes()), (60, 40));
     drop(first);
-    assert!(second.grow(60) && !second.grow(1));
+    assert!(second.try_grow(60) && !second.try_grow(1));
     drop(second);
-    assert!(budget.begin().grow(100));
+    assert!(budget.new_reservation().try_grow(100));
 }
--- a/crates/sloetrail-serving/src/gateway/front.rs
+++ b/crates/sloetrail-serving/src/gateway/call_handler.rs
@@ -1,19 +1,19 @@
 //! The entry of every call from outside.
 
-use super::attempt::Outgoing;
+use super::attempt::OutgoingRequest;
 use super::batch_call::BatchCall;
-use super::body_budget::{BodyBudget, HeldBytes};
+use super::body_budget::{BodyBudget, BodyReservation};
 use super::call_log::CallLog;
-use super::caller::{self, KeyDemand};
+use super::caller::{self, ApiKeyRequirement};
 use super::claims::{Claimed, KeyedSending, Sending};
 use super::headers;
 use super::live::LiveCall;
-use super::message::{
+use super::regions;
+use super::request_id::RequestId;
+use super::response::{
     CallerResponse, problem_response, stream_body, whole_body, with_configuration_version,
     with_request_id,
 };
-use super::regions;
-use super::request_id::RequestId;
 use super::stream::{self, StreamOutcome};
 use super::submit::{self, SubmissionCall, WaitingSubmissions};
 use crate::context::NodeContext;
@@ -37,7 +37,7 @@
 const FULL_RETRY_MS: u64 = 250;
 
 /// The entry of every call from outside.
-pub(crate) struct Front {
+pub(crate) struct CallHandler {
     context: Arc<NodeContext>,
     choices: Mutex<HashMap<String, WeightedChoice>>,
     bodies: BodyBudget,
@@ -62,7 +62,7 @@
     body: Bytes,
 }
 
-impl Front {
+impl CallHandler {
     /// An entry; `seed` (between zero and one) differs from node to node.
     pub(crate) fn new(context: Arc<NodeContext>, seed: f64) -> Self {
         let body_budget_bytes = context.settings.bounds.body_budget_bytes;
@@ -141,7 +141,7 @@
         mut log: CallLog<'_>,
     ) -> CallerResponse {
         let (context, request_id) = (&self.context, call.request_id);
-        let demand = KeyDemand::on(route);
+        let demand = ApiKeyRequirement::on(route);
         let identified = caller::identify(context, log.configuration, &call.head.headers, demand);
         let tenant = match identified {
             Ok(tenant) => tenant,
@@ -158,7 +158,7 @@
             }
         };
         log.regions = Some(regions.clone());
-        let mut held = self.bodies.begin();
+        let mut held = self.bodies.new_reservation();
         let body = match self.read_body(call.body, &mut held, log.deadline).await {
             Ok(body) => body,
             Err(problem) => return refused(&problem, &log),
@@ -264,8 +264,8 @@
         received: BootInstant,
     ) -> BootInstant {
         let names = self.context.dialect.headers();
-        let caller_time = headers::caller_time(headers, names);
-        let times = caller_time
+        let caller_timeout = headers::caller_timeout(headers, names);
+        let times = caller_timeout
             .into_iter()
             .chain(route.map(|route| route.timeout));
         let time = times.min().unwrap_or_default();
@@ -276,7 +276,7 @@
     async fn read_body(
         &self,
         mut body: Incoming,
-        held: &mut HeldBytes,
+        held: &mut BodyReservation,
         deadline: BootInstant,
     ) -> Result<Bytes, Problem> {
         let limit = self.context.limits().body_bytes;
@@ -301,7 +301,7 @@
                 let detail = format!("over {limit} bytes");
                 return Err(Problem::new(ResultCode::BodyTooLarge, detail));
             }
-            if !held.grow(piece.len()) {
+            if !held.try_grow(piece.len()) {
                 let detail = "the node holds as many bytes of requests as it may";
                 let problem = Problem::new(ResultCode::QueueFull, detail);
                 return Err(problem.with_retry_after_ms(FULL_RETRY_MS));
@@ -350,7 +350,7 @@
     async fn claim(
         &self,
         keyed: Result<Option<KeyedSending>, Problem>,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
     ) -> Result<Claimed, Problem> {
         match (keyed?, &self.context.claims) {
             (Some(keyed), Some(claims)) => claims.claim(keyed, outgoing).await,
@@ -366,14 +366,14 @@
         request_id: &RequestId,
         tenant: Option<&Tenant>,
         body: Bytes,
-    ) -> Outgoing {
+    ) -> OutgoingRequest {
         let names = self.context.dialect.headers();
         let path_and_query = head.uri.path_and_query();
         let path_and_query = path_and_query.map_or_else(|| "/".to_owned(), ToString::to_string);
         let mut sent = headers::end_to_end(&head.headers);
         caller::set_tenant(&mut sent, names, tenant.map(|tenant| &tenant.name));
         headers::set_text(&mut sent, &names.request_id, request_id.as_str());
-        Outgoing {
+        OutgoingRequest {
             request_id: request_id.as_str().to_owned(),
             method: head.method,
             path_and_query,
--- a/crates/sloetrail-serving/src/gateway/caller.rs
+++ b/crates/sloetrail-serving/src/gateway/caller.rs
@@ -19,19 +19,19 @@
 
 /// Whether callers have to show a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum KeyDemand {
+pub(crate) enum ApiKeyRequirement {
     /// They have to, if the configuration names tenants.
-    Needed,
+    Required,
     /// They need not; a key that is known still tells the tenant.
     Optional,
 }
 
-impl KeyDemand {
+impl ApiKeyRequirement {
     /// What callers of a route have to show.
     pub(crate) fn on(route: &Route) -> Self {
         match route.is_public {
-            true => KeyDemand::Optional,
-            false => KeyDemand::Needed,
+            true => ApiKeyRequirement::Optional,
+            false => ApiKeyRequirement::Required,
         }
     }
 }
@@ -44,7 +44,7 @@
     context: &NodeContext,
     configuration: &ServingConfiguration,
     headers: &HeaderMap,
-    demand: KeyDemand,
+    demand: ApiKeyRequirement,
 ) -> Result<Option<Arc<Tenant>>, Problem> {
     let Some(tenants) = &configuration.tenants else {
         return Ok(None);
@@ -54,11 +54,11 @@
     let tenant = key.and_then(|key| tenants.of_key(key));
     match (tenant, key, demand) {
         (Some(tenant), _, _) => Ok(Some(Arc::clone(tenant))),
-        (None, _, KeyDemand::Optional) => Ok(None),
-        (None, None, KeyDemand::Needed) => {
+        (None, _, ApiKeyRequirement::Optional) => Ok(None),
+        (None, None, ApiKeyRequirement::Required) => {
             Err(Problem::new(ResultCode::UnknownApiKey, "no key was sent"))
         }
-        (None, Some(_), KeyDemand::Needed) => Err(unknown_key(context)),
+        (None, Some(_), ApiKeyRequirement::Required) => Err(unknown_key(context)),
     }
 }
 
@@ -71,7 +71,7 @@
 }
 
 /// True if a caller may know of a batch: it is its tenant's, or nobody's.
-pub(crate) fn may_know(header: &BatchHeader, caller: Option<&Tenant>) -> bool {
+pub(crate) fn may_access_batch(header: &BatchHeader, caller: Option<&Tenant>) -> bool {
     match (&header.tenant, caller) {
         (Some(owner), Some(caller)) => *owner == caller.name,
         _ => true,
--- a/crates/sloetrail-serving/src/gateway/claims.rs
+++ b/crates/sloetrail-serving/src/gateway/claims.rs
@@ -17,7 +17,7 @@
 use self::key::IdempotencyKey;
 use self::record::{ClaimRecord, ClaimState, RequestIdentity, Verdict};
 use self::writes::{Claiming, Settled};
-use super::attempt::Outgoing;
+use super::attempt::OutgoingRequest;
 use super::headers;
 use super::known_batch::RETRY_AFTER;
 use crate::dialect::HeaderNames;
@@ -115,7 +115,7 @@
     pub(crate) async fn claim(
         self: &Arc<Self>,
         sending: KeyedSending,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
     ) -> Result<Claimed, Problem> {
         let outcome = self.claim_in_time(sending, outgoing).await;
         telemetry::key_claimed(word(&outcome));
@@ -125,7 +125,7 @@
     async fn claim_in_time(
         self: &Arc<Self>,
         sending: KeyedSending,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
     ) -> Result<Claimed, Problem> {
         let now_ms = self.table.now_ms().filter(|_| self.may_be_settled());
         let Some(now_ms) = now_ms else {
@@ -168,7 +168,7 @@
     fn record(
         &self,
         sending: &KeyedSending,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         now_ms: u64,
         left: Duration,
     ) -> ClaimRecord {
@@ -215,7 +215,7 @@
     }
 }
 
-fn identity(sending: &KeyedSending, outgoing: &Outgoing) -> RequestIdentity {
+fn identity(sending: &KeyedSending, outgoing: &OutgoingRequest) -> RequestIdentity {
     let parts = [
         outgoing.method.as_str().as_bytes(),
         outgoing.path_and_query.as_bytes(),
--- a/crates/sloetrail-serving/src/gateway/headers.rs
+++ b/crates/sloetrail-serving/src/gateway/headers.rs
@@ -60,7 +60,7 @@
 }
 
 /// The time that a caller waits, if it says so.
-pub(crate) fn caller_time(headers: &HeaderMap, names: &HeaderNames) -> Option<Duration> {
+pub(crate) fn caller_timeout(headers: &HeaderMap, names: &HeaderNames) -> Option<Duration> {
     number(headers, &names.deadline_ms).map(Duration::from_millis)
 }
 
--- a/crates/sloetrail-serving/src/gateway/known_batch.rs
+++ b/crates/sloetrail-serving/src/gateway/known_batch.rs
@@ -1,6 +1,6 @@
 //! Batches that were accepted, as the table tells of them.
 
-use super::caller::may_know;
+use super::caller::may_access_batch;
 use crate::batch_rows::read_header;
 use crate::context::NodeContext;
 use crate::table::ReadError;
@@ -20,7 +20,7 @@
     caller: Option<&Tenant>,
 ) -> Result<BatchHeader, Problem> {
     match read_header(&*context.table, id).await {
-        Ok(Some((header, _))) if may_know(&header, caller) => Ok(header),
+        Ok(Some((header, _))) if may_access_batch(&header, caller) => Ok(header),
         Ok(_) => {
             let detail = format!("batch {id}");
             Err(Problem::new(ResultCode::UnknownBatch, detail))
--- a/crates/sloetrail-serving/src/gateway/live.rs
+++ b/crates/sloetrail-serving/src/gateway/live.rs
@@ -5,15 +5,15 @@
 //! wins and the others are closed. A request that may not be repeated is sent again
 //! only after proof that it has not run. What is given up is answered at once.
 
-use super::attempt::{AttemptResult, Outgoing, attempt};
+use super::attempt::{AttemptResult, OutgoingRequest, attempt};
 use super::claims::Claim;
-use super::place_wait::{self, PlaceOutlook, PlaceWait, WaitBounds};
+use super::slot_wait::{self, SlotWait, SlotWaitEstimate, WaitBounds};
 use crate::context::NodeContext;
 use crate::events::{self, Event};
 use crate::http::{Reuse, WholeAnswer};
-use crate::place_turns::PlaceSeeker;
 use crate::quarantine::{Passage, RequestIdentity};
 use crate::service_pools::Place;
+use crate::slot_waiter::SlotWaiter;
 use crate::telemetry;
 use crate::usage::BegunRequest;
 use futures_util::StreamExt;
@@ -37,7 +37,7 @@
 /// With less time than this an attempt is not worth beginning.
 const TIME_LEAST: Duration = Duration::from_millis(5);
 /// Attempts that were proved not to run are not counted, but they are bounded.
-pub(super) const SENDS_LIMIT: usize = 8;
+pub(super) const MAX_SENDS: usize = 8;
 
 /// A live request with its route.
 pub(crate) struct LiveCall {
@@ -46,7 +46,7 @@
     pub(crate) service: ServiceName,
     /// The regions in which it may be served.
     pub(crate) regions: AllowedRegions,
-    pub(crate) outgoing: Outgoing,
+    pub(crate) outgoing: OutgoingRequest,
     /// Whose use it counts as; nothing for calls of the node itself.
     pub(crate) tenant: Option<TenantName>,
     /// How urgent it is among those that wait for a place.
@@ -80,8 +80,8 @@
 
 struct Run<'a> {
     call: &'a LiveCall,
-    seeker: PlaceSeeker,
-    wait: PlaceWait,
+    seeker: SlotWaiter,
+    wait: SlotWait,
     pending: FuturesUnordered<BoxFuture<'static, Attempted>>,
     tried: BTreeSet<EngineId>,
     /// The connections that the next attempt may use.
@@ -106,7 +106,7 @@
             passage,
             call: self,
             seeker: self.place_seeker(),
-            wait: PlaceWait::default(),
+            wait: SlotWait::default(),
             pending: FuturesUnordered::new(),
             tried: BTreeSet::new(),
             reuse: self.reuse(),
@@ -175,21 +175,21 @@
     }
 
     /// The search for places at back ends that may serve the request.
-    pub(crate) fn place_seeker(&self) -> PlaceSeeker {
+    pub(crate) fn place_seeker(&self) -> SlotWaiter {
         let request = PlaceRequest {
             urgency: self.urgency,
             tenant: self.tenant.clone(),
             regions: self.regions.clone(),
         };
-        PlaceSeeker::new(&self.context.pools, &self.service, request)
+        SlotWaiter::new(&self.context.pools, &self.service, request)
     }
 
     /// Waits for its turn, for a moment at most, if a place is likely to come free soon; false
     /// if it is not.
     pub(crate) async fn wait_for_place(
         &self,
-        seeker: &mut PlaceSeeker,
-        wait: &mut PlaceWait,
+        seeker: &mut SlotWaiter,
+        wait: &mut SlotWait,
     ) -> bool {
         let outlook = self.place_outlook(seeker);
         let is_held_back = outlook.is_some_and(|outlook| outlook.held_back_by > 0);
@@ -210,13 +210,13 @@
     }
 
     /// When a caller that is refused should come back.
-    pub(crate) fn retry_after(&self, seeker: &PlaceSeeker) -> Duration {
+    pub(crate) fn retry_after(&self, seeker: &SlotWaiter) -> Duration {
         let left = self.deadline.saturating_duration_since(BootInstant::now());
-        place_wait::retry_after(self.place_outlook(seeker), left, rand::random())
+        slot_wait::retry_after(self.place_outlook(seeker), left, rand::random())
     }
 
     /// Why no place was had, for people.
-    pub(crate) fn no_place(&self, seeker: &PlaceSeeker) -> String {
+    pub(crate) fn no_place(&self, seeker: &SlotWaiter) -> String {
         let (service, regions) = (&self.service, &self.regions);
         match self
             .place_outlook(seeker)
@@ -233,14 +233,14 @@
 
     /// The code of a request that found no place: where it is allowed in some regions only and
     /// no back end there takes work, engines elsewhere are of no use to it.
-    pub(crate) fn no_engine(&self, seeker: &PlaceSeeker) -> ResultCode {
+    pub(crate) fn no_engine(&self, seeker: &SlotWaiter) -> ResultCode {
         match self.place_outlook(seeker) {
             None if !self.regions.is_everywhere() => ResultCode::NoAllowedEngine,
             _ => ResultCode::NoEngine,
         }
     }
 
-    fn place_outlook(&self, seeker: &PlaceSeeker) -> Option<PlaceOutlook> {
+    fn place_outlook(&self, seeker: &SlotWaiter) -> Option<SlotWaitEstimate> {
         self.context.pools.place_outlook(seeker)
     }
 
@@ -311,7 +311,7 @@
             true => 1,
             false => self.call.route.max_attempts,
         };
-        possible < most && self.sends < SENDS_LIMIT
+        possible < most && self.sends < MAX_SENDS
     }
 
     fn may_try_again(&self) -> bool {
--- a/crates/sloetrail-serving/src/gateway/read.rs
+++ b/crates/sloetrail-serving/src/gateway/read.rs
@@ -5,8 +5,8 @@
 //! table tells it, means that there is no such batch.
 
 use super::known_batch::{header_of, table_unavailable};
-use super::message::{CallerResponse, json_response, problem_response, whole_body};
-use super::reading_time::{PAGE_BYTES, ReadingTime};
+use super::response::{CallerResponse, json_response, problem_response, whole_body};
+use super::result_wait::{MAX_PAGE_BYTES, ResultWait};
 use crate::batch_rows::{read_results, read_submission};
 use crate::context::NodeContext;
 use crate::events::{self, Event};
@@ -76,19 +76,19 @@
     );
     let header = header?;
     let time = match context.settings.policies.gather_results {
-        true => ReadingTime::new(began, wait, &header, context.table.now_ms()),
-        false => ReadingTime::for_any_result(began, wait),
+        true => ResultWait::new(began, wait, &header, context.table.now_ms()),
+        false => ResultWait::for_any_result(began, wait),
     };
     let mut known = listed.map_err(|_| table_unavailable())?;
     loop {
         let next = position + known.len();
         let next_look = BootInstant::now() + LOOK_PERIOD;
-        let kept_until = time.kept_until(&known);
-        if next >= header.total || next_look > kept_until {
+        let wait_deadline = time.wait_deadline(&known);
+        if next >= header.total || next_look > wait_deadline {
             return Ok(page(position, header.total, known, demand));
         }
         sloetrail_clock::sleep_until(next_look).await;
-        match look(context, id, next, kept_until + LAST_LOOK).await {
+        match look(context, id, next, wait_deadline + LAST_LOOK).await {
             Look::Answered(more) => known.extend(more),
             Look::Failed if known.is_empty() => return Err(table_unavailable()),
             // What is known is told now: the table may stay away for longer.
@@ -140,7 +140,7 @@
     let mut bytes = 0;
     let fits = |(index, result): &(usize, ToldResult)| {
         bytes += result.text.len();
-        *index == 0 || bytes <= PAGE_BYTES
+        *index == 0 || bytes <= MAX_PAGE_BYTES
     };
     let told = listed
         .into_iter()
--- a/crates/sloetrail-serving/src/gateway/regions.rs
+++ b/crates/sloetrail-serving/src/gateway/regions.rs
@@ -43,7 +43,7 @@
 /// The regions in which a batch may be kept: those of its caller that the routes of its
 /// reward calls allow too, since whoever keeps the batch reads the bodies of these. A route
 /// that would leave none is passed over.
-pub(super) fn of_batch(
+pub(super) fn for_batch(
     configuration: &ServingConfiguration,
     of_caller: &AllowedRegions,
     submission: &Submission,
--- a/crates/sloetrail-serving/src/gateway/regions/tests.rs
+++ b/crates/sloetrail-serving/src/gateway/regions/tests.rs
@@ -1,4 +1,4 @@
-use super::{allowed, of_batch};
+use super::{allowed, for_batch};
 use serde_json::{Value, json};
 use sloetrail_batch::Submission;
 use sloetrail_routing::ServingConfiguration;
@@ -56,7 +56,7 @@
         let items: Vec<Value> = paths.iter().enumerate().map(item).collect();
         let submission = json!({"items": items}).to_string();
         let submission = Submission::parse(submission.as_bytes()).expect("sound");
-        of_batch(&configuration, of_caller, &submission)
+        for_batch(&configuration, of_caller, &submission)
     };
     let everywhere = AllowedRegions::everywhere();
     assert_eq!(kept(&everywhere, &["/any/1", "/unknown/"]), everywhere);
--- a/crates/sloetrail-serving/src/gateway/reading_time.rs
+++ b/crates/sloetrail-serving/src/gateway/result_wait.rs
@@ -10,22 +10,22 @@
 use std::time::Duration;
 
 /// The most that a reader is kept, whatever it asks for: a second, as trainers ask.
-const WAIT_LIMIT: Duration = Duration::from_millis(1_000);
+const MAX_WAIT: Duration = Duration::from_millis(1_000);
 /// How often trainers read, by the operators' pages: about twice a second.
-const READING_PERIOD: Duration = Duration::from_millis(500);
+const READ_INTERVAL: Duration = Duration::from_millis(500);
 /// Bytes of text that one answer may hold.
-pub(super) const PAGE_BYTES: usize = 900_000;
+pub(super) const MAX_PAGE_BYTES: usize = 900_000;
 
 /// The time of one reader.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ReadingTime {
+pub(super) struct ResultWait {
     began: BootInstant,
     wait: Duration,
     /// How long it may be kept for more than it has.
     gathering: Duration,
 }
 
-impl ReadingTime {
+impl ResultWait {
     /// A reader that came at `began` and waits for `wait`. `now_ms` is the table's clock then;
     /// without it the batch counts as due.
     pub(super) fn new(
@@ -39,10 +39,10 @@
         let due_in = Duration::from_millis(due_in_ms);
         Self {
             began,
-            wait: wait.min(WAIT_LIMIT),
+            wait: wait.min(MAX_WAIT),
             // Each group counts once the batch is due; the reader is kept no longer then than
             // it would have stayed away.
-            gathering: due_in.max(READING_PERIOD),
+            gathering: due_in.max(READ_INTERVAL),
         }
     }
 
@@ -50,13 +50,13 @@
     pub(super) fn for_any_result(began: BootInstant, wait: Duration) -> Self {
         Self {
             began,
-            wait: wait.min(WAIT_LIMIT),
+            wait: wait.min(MAX_WAIT),
             gathering: Duration::ZERO,
         }
     }
 
     /// Until when the reader is kept, with what is known for it.
-    pub(super) fn kept_until(&self, known: &[ListedResult]) -> BootInstant {
+    pub(super) fn wait_deadline(&self, known: &[ListedResult]) -> BootInstant {
         if known.is_empty() {
             return self.began + self.wait;
         }
@@ -71,7 +71,7 @@
 /// or one answer holds no more.
 fn is_enough(known: &[ListedResult]) -> bool {
     let bytes: usize = known.iter().map(|result| result.text.len()).sum();
-    bytes >= PAGE_BYTES || known.iter().any(|result| result.groups_are_whole)
+    bytes >= MAX_PAGE_BYTES || known.iter().any(|result| result.groups_are_whole)
 }
 
 #[cfg(test)]
--- a/crates/sloetrail-serving/src/gateway/reading_time/tests.rs
+++ b/crates/sloetrail-serving/src/gateway/result_wait/tests.rs
@@ -1,4 +1,4 @@
-use super::{PAGE_BYTES, READING_PERIOD, ReadingTime, WAIT_LIMIT};
+use super::{MAX_PAGE_BYTES, MAX_WAIT, READ_INTERVAL, ResultWait};
 use sloetrail_batch::{BatchHeader, ListedResult};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::{AllowedRegions, ServiceName, WeightVersion};
@@ -38,8 +38,8 @@
 /// How long a reader is kept that waits for `wait` and for whom this is known.
 fn kept_for(wait: Duration, now_ms: Option<u64>, known: &[ListedResult]) -> Duration {
     let began = BootInstant::now();
-    let time = ReadingTime::new(began, wait, &header(), now_ms);
-    time.kept_until(known) - began
+    let time = ResultWait::new(began, wait, &header(), now_ms);
+    time.wait_deadline(known) - began
 }
 
 #[test]
@@ -53,8 +53,8 @@
 #[test]
 fn a_reader_is_kept_while_nothing_that_it_can_use_is_there() {
     let now = Some(ACCEPTED_AT_MS);
-    assert_eq!(kept_for(WAIT_LIMIT, now, &[]), WAIT_LIMIT);
-    assert_eq!(kept_for(WAIT_LIMIT, now, &[result(false)]), WAIT_LIMIT);
+    assert_eq!(kept_for(MAX_WAIT, now, &[]), MAX_WAIT);
+    assert_eq!(kept_for(MAX_WAIT, now, &[result(false)]), MAX_WAIT);
     let short = Duration::from_millis(300);
     assert_eq!(kept_for(short, now, &[result(false)]), short);
 }
@@ -62,15 +62,15 @@
 #[test]
 fn a_reader_is_answered_at_once_when_the_groups_that_are_waited_for_are_whole() {
     let known = [result(false), result(true), result(false)];
-    let kept = kept_for(WAIT_LIMIT, Some(ACCEPTED_AT_MS), &known);
+    let kept = kept_for(MAX_WAIT, Some(ACCEPTED_AT_MS), &known);
     assert_eq!(kept, Duration::ZERO);
 }
 
 #[test]
 fn a_reader_is_answered_at_once_when_an_answer_holds_no_more() {
     let mut long = result(false);
-    long.text = "t".repeat(PAGE_BYTES);
-    let kept = kept_for(WAIT_LIMIT, Some(ACCEPTED_AT_MS), &[long]);
+    long.text = "t".repeat(MAX_PAGE_BYTES);
+    let kept = kept_for(MAX_WAIT, Some(ACCEPTED_AT_MS), &[long]);
     assert_eq!(kept, Duration::ZERO);
 }
 
@@ -79,22 +79,22 @@
     let known = [result(false)];
     let nearly_due = Some(DUE_AT_MS - 700);
     let until_due = Duration::from_millis(700);
-    assert_eq!(kept_for(WAIT_LIMIT, nearly_due, &known), until_due);
+    assert_eq!(kept_for(MAX_WAIT, nearly_due, &known), until_due);
     for now in [Some(DUE_AT_MS - 100), Some(DUE_AT_MS + 100), None] {
-        assert_eq!(kept_for(WAIT_LIMIT, now, &known), READING_PERIOD);
+        assert_eq!(kept_for(MAX_WAIT, now, &known), READ_INTERVAL);
     }
 }
 
 #[test]
 fn nobody_is_kept_for_longer_than_the_limit() {
     let kept = kept_for(Duration::from_secs(60), Some(ACCEPTED_AT_MS), &[]);
-    assert_eq!(kept, WAIT_LIMIT);
+    assert_eq!(kept, MAX_WAIT);
 }
 
 #[test]
 fn a_reader_that_can_use_any_result_is_kept_only_while_there_is_none() {
     let began = BootInstant::now();
-    let time = ReadingTime::for_any_result(began, WAIT_LIMIT);
-    assert_eq!(time.kept_until(&[]) - began, WAIT_LIMIT);
-    assert_eq!(time.kept_until(&[result(false)]), began);
+    let time = ResultWait::for_any_result(began, MAX_WAIT);
+    assert_eq!(time.wait_deadline(&[]) - began, MAX_WAIT);
+    assert_eq!(time.wait_deadline(&[result(false)]), began);
 }
--- a/crates/sloetrail-serving/src/gateway/place_wait.rs
+++ b/crates/sloetrail-serving/src/gateway/slot_wait.rs
@@ -34,10 +34,10 @@
 
 /// What is known of when a place will be had.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct PlaceOutlook {
+pub(crate) struct SlotWaitEstimate {
     /// How long all back ends are still left alone after losses and refusals; nothing if one
     /// may be tried and has no place.
-    pub(crate) paused_for: Option<Duration>,
+    pub(crate) backoff_remaining: Option<Duration>,
     /// The time within which nine of ten answers of the service come; nothing if not known.
     pub(crate) answer_time: Option<Duration>,
     /// Requests of this node that run there, each of which frees a place.
@@ -47,7 +47,7 @@
     pub(crate) held_back_by: usize,
 }
 
-impl PlaceOutlook {
+impl SlotWaitEstimate {
     fn answer_time(&self) -> Duration {
         let known = self.answer_time.map(|time| time.max(ANSWER_TIME_LEAST));
         known.unwrap_or(ANSWER_TIME_UNKNOWN)
@@ -59,7 +59,7 @@
         let next_answer = self.answer_time() / running.max(1);
         let first = u32::try_from(self.held_back_by).unwrap_or(u32::MAX);
         let own_turn = next_answer.saturating_mul(first.saturating_add(1));
-        self.paused_for.unwrap_or(own_turn)
+        self.backoff_remaining.unwrap_or(own_turn)
     }
 }
 
@@ -74,16 +74,16 @@
 
 /// A request's wait for places, over all its attempts.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct PlaceWait {
+pub(crate) struct SlotWait {
     until: Option<BootInstant>,
 }
 
-impl PlaceWait {
+impl SlotWait {
     /// When to look for a place again; nothing if the request should be refused now.
     pub(crate) fn next_look(
         &mut self,
         now: BootInstant,
-        outlook: Option<PlaceOutlook>,
+        outlook: Option<SlotWaitEstimate>,
         bounds: WaitBounds,
     ) -> Option<BootInstant> {
         let outlook = outlook?;
@@ -100,7 +100,10 @@
 
 /// When to look for a place again to go on with a series of which events were passed on;
 /// nothing once its time is over.
-pub(crate) fn next_look_midway(now: BootInstant, deadline: BootInstant) -> Option<BootInstant> {
+pub(crate) fn next_check_mid_stream(
+    now: BootInstant,
+    deadline: BootInstant,
+) -> Option<BootInstant> {
     let next = now + LOOK_PERIOD;
     (next < deadline).then_some(next)
 }
@@ -108,7 +111,11 @@
 /// When a caller that is refused should come back: once a place is likely to be had, within
 /// the time that it has left. `spread`, drawn between zero and one, keeps callers that were
 /// refused together from coming back together.
-pub(crate) fn retry_after(outlook: Option<PlaceOutlook>, left: Duration, spread: f64) -> Duration {
+pub(crate) fn retry_after(
+    outlook: Option<SlotWaitEstimate>,
+    left: Duration,
+    spread: f64,
+) -> Duration {
     let likely = outlook.map_or(NO_BACK_END_PAUSE, |outlook| {
         outlook.soonest().max(outlook.answer_time())
     });
--- a/crates/sloetrail-serving/src/gateway/place_wait/tests.rs
+++ b/crates/sloetrail-serving/src/gateway/slot_wait/tests.rs
@@ -1,4 +1,4 @@
-use super::{PlaceOutlook, PlaceWait, WaitBounds, next_look_midway, retry_after};
+use super::{SlotWait, SlotWaitEstimate, WaitBounds, next_check_mid_stream, retry_after};
 use sloetrail_clock::BootInstant;
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 }
 
 /// All places are taken, by this many requests of this node.
-fn full(answer_time: u64, running: usize) -> Option<PlaceOutlook> {
-    Some(PlaceOutlook {
-        paused_for: None,
+fn full(answer_time: u64, running: usize) -> Option<SlotWaitEstimate> {
+    Some(SlotWaitEstimate {
+        backoff_remaining: None,
         answer_time: Some(milliseconds(answer_time)),
         running,
         held_back_by: 0,
     })
 }
 
-fn paused(time: u64, answer_time: u64) -> Option<PlaceOutlook> {
-    Some(PlaceOutlook {
-        paused_for: Some(milliseconds(time)),
+fn paused(time: u64, answer_time: u64) -> Option<SlotWaitEstimate> {
+    Some(SlotWaitEstimate {
+        backoff_remaining: Some(milliseconds(time)),
         answer_time: Some(milliseconds(answer_time)),
         running: 0,
         held_back_by: 0,
@@ -33,15 +33,15 @@
 }
 
 /// How long a request with much time waits while nothing changes.
-fn waited(outlook: Option<PlaceOutlook>, latency_target: u64) -> Duration {
+fn waited(outlook: Option<SlotWaitEstimate>, latency_target: u64) -> Duration {
     waited_of(outlook, bounds(latency_target, 10_000))
 }
 
 /// How long a request waits while nothing changes.
-fn waited_of(outlook: Option<PlaceOutlook>, bounds: WaitBounds) -> Duration {
+fn waited_of(outlook: Option<SlotWaitEstimate>, bounds: WaitBounds) -> Duration {
     let began = BootInstant::now();
     let mut now = began;
-    let mut wait = PlaceWait::default();
+    let mut wait = SlotWait::default();
     while let Some(next) = wait.next_look(now, outlook, bounds) {
         assert!(next > now);
         now = next;
@@ -50,9 +50,9 @@
 }
 
 /// Back ends that are full, and requests that go before this one.
-fn held_back(answer_time: u64, running: usize, held_back_by: usize) -> Option<PlaceOutlook> {
+fn held_back(answer_time: u64, running: usize, held_back_by: usize) -> Option<SlotWaitEstimate> {
     let outlook = full(answer_time, running)?;
-    Some(PlaceOutlook {
+    Some(SlotWaitEstimate {
         held_back_by,
         ..outlook
     })
@@ -102,7 +102,7 @@
 fn the_wait_is_one_over_all_attempts() {
     let began = BootInstant::now();
     let target = bounds(400, 10_000);
-    let mut wait = PlaceWait::default();
+    let mut wait = SlotWait::default();
     assert!(wait.next_look(began, full(100, 8), target).is_some());
     let later = began + milliseconds(200);
     assert_eq!(wait.next_look(later, full(100, 8), target), None);
@@ -160,7 +160,7 @@
     let began = BootInstant::now();
     let deadline = began + milliseconds(500);
     let mut now = began;
-    while let Some(next) = next_look_midway(now, deadline) {
+    while let Some(next) = next_check_mid_stream(now, deadline) {
         assert!(next > now);
         now = next;
     }
--- a/crates/sloetrail-serving/src/gateway/stream.rs
+++ b/crates/sloetrail-serving/src/gateway/stream.rs
@@ -6,18 +6,19 @@
 //! the caller's connection is broken off, so that the answer does not look whole.
 
 use super::attempt::{
-    AttemptResult, Outgoing, build_request, judge_answer, judge_failure, judge_head, settle_by_head,
+    AttemptResult, OutgoingRequest, build_request, classify_answer, classify_failure,
+    classify_head, finish_exchange,
 };
 use super::headers;
-use super::live::{LiveCall, SENDS_LIMIT};
-use super::place_wait::{self, PlaceWait};
+use super::live::{LiveCall, MAX_SENDS};
+use super::slot_wait::{self, SlotWait};
 use crate::context::NodeContext;
 use crate::ended_lives::has_ended;
 use crate::event_stream::EventParser;
 use crate::http::{AnswerBody, Exchange, Reuse, SendFailure, WholeAnswer};
-use crate::place_turns::PlaceSeeker;
 use crate::quarantine::{Passage, RunWatch};
 use crate::service_pools::Place;
+use crate::slot_waiter::SlotWaiter;
 use crate::usage::BegunRequest;
 use bytes::Bytes;
 use futures_util::StreamExt;
@@ -109,7 +110,7 @@
 
 struct Source {
     call: LiveCall,
-    seeker: PlaceSeeker,
+    seeker: SlotWaiter,
     tried: BTreeSet<EngineId>,
     /// The connections that the next attempt may use.
     reuse: Reuse,
@@ -166,13 +167,13 @@
             true => 1,
             false => route.max_attempts,
         };
-        let has_attempts = self.may_have_run < most && self.sends < SENDS_LIMIT;
+        let has_attempts = self.may_have_run < most && self.sends < MAX_SENDS;
         is_safe && has_time && has_attempts && self.passage.is_open()
     }
 
     async fn connect(&mut self) -> Opening {
         let mut last = None;
-        let mut wait = PlaceWait::default();
+        let mut wait = SlotWait::default();
         self.passage.ask_for_trial(self.call.deadline).await;
         while self.may_try() {
             let Some(place) = self.acquire_or_wait(&mut wait).await else {
@@ -201,7 +202,7 @@
     }
 
     /// A back end that was not tried yet, or else one that was, if a place comes free soon.
-    async fn acquire_or_wait(&mut self, wait: &mut PlaceWait) -> Option<Place> {
+    async fn acquire_or_wait(&mut self, wait: &mut SlotWait) -> Option<Place> {
         let context = self.context();
         loop {
             context.pause_guard.settled().await;
@@ -229,7 +230,7 @@
 
     async fn wait_midway(&mut self) -> bool {
         let deadline = self.call.deadline;
-        let Some(next_look) = place_wait::next_look_midway(BootInstant::now(), deadline) else {
+        let Some(next_look) = slot_wait::next_check_mid_stream(BootInstant::now(), deadline) else {
             return false;
         };
         self.seeker.wait_until(next_look).await;
@@ -266,15 +267,15 @@
         let context = &self.call.context;
         let limit = context.answer_limit();
         match exchange.whole(limit, self.call.deadline).await {
-            Ok(answer) => judge_answer(answer, context.dialect.headers()),
-            Err(failure) => judge_failure(failure),
+            Ok(answer) => classify_answer(answer, context.dialect.headers()),
+            Err(failure) => classify_failure(failure),
         }
     }
 
     async fn exchange(&self, place: &Place) -> Result<Exchange, AttemptResult> {
         let context = &self.call.context;
         let names = context.dialect.headers();
-        let mut outgoing: Outgoing = self.call.outgoing.clone();
+        let mut outgoing: OutgoingRequest = self.call.outgoing.clone();
         if let Some(last_event) = self.last_event {
             headers::set_number(&mut outgoing.headers, &names.last_event_id, last_event);
         }
@@ -284,9 +285,9 @@
         let connections = &context.connections;
         let passage = Some(&self.passage);
         let sending = connections.send(place.back_end(), request, passage, self.reuse, deadline);
-        let exchange = sending.await.map_err(judge_failure)?;
-        match judge_head(exchange.status, &exchange.headers, names, &outgoing) {
-            Some(result) => Err(settle_by_head(exchange, result)),
+        let exchange = sending.await.map_err(classify_failure)?;
+        match classify_head(exchange.status, &exchange.headers, names, &outgoing) {
+            Some(result) => Err(finish_exchange(exchange, result)),
             None => Ok(exchange),
         }
     }
@@ -406,7 +407,7 @@
     }
 
     async fn resume(&mut self, failure: SendFailure) -> bool {
-        let result = judge_failure(failure);
+        let result = classify_failure(failure);
         if let Some(watch) = self.watch.take() {
             watch.end(&result);
         }
--- a/crates/sloetrail-serving/src/gateway/submit.rs
+++ b/crates/sloetrail-serving/src/gateway/submit.rs
@@ -18,8 +18,8 @@
 
 use self::waiting::{Hindrance, wait_for_table};
 use super::known_batch::{RETRY_AFTER, header_of, table_unavailable};
-use super::message::{CallerResponse, empty_response, problem_response};
 use super::regions;
+use super::response::{CallerResponse, empty_response, problem_response};
 use crate::batch_rows::encode_header;
 use crate::context::NodeContext;
 use crate::events::{self, Event};
@@ -134,7 +134,7 @@
     let submission = Submission::parse(body)
         .map_err(|error| Problem::new(ResultCode::MalformedRequest, error.to_string()))?;
     let items = submission.items.len();
-    let regions = regions::of_batch(call.configuration, &call.regions, &submission);
+    let regions = regions::for_batch(call.configuration, &call.regions, &submission);
     let (model, oldest_version) = (submission.model.clone(), submission.min_version);
     // A submission may wait for the table: only its body is held meanwhile.
     drop(submission);
--- a/crates/sloetrail-serving/src/gateway/submit/waiting.rs
+++ b/crates/sloetrail-serving/src/gateway/submit/waiting.rs
@@ -56,8 +56,8 @@
     body_bytes: usize,
     give_up_at: BootInstant,
 ) -> Result<(), Hindrance> {
-    let mut held = waiting.0.begin();
-    if !held.grow(body_bytes) {
+    let mut held = waiting.0.new_reservation();
+    if !held.try_grow(body_bytes) {
         return Err(Hindrance::TooManyWait);
     }
     while !table.is_answering() {
--- a/crates/sloetrail-serving/src/node.rs
+++ b/crates/sloetrail-serving/src/node.rs
@@ -9,9 +9,9 @@
 use crate::engine_supply::EngineSupply;
 use crate::events::{self, Event};
 use crate::follow::{FleetSize, FollowPaces, HeldReading, ViewReceiver, follow, follow_directory};
+use crate::gateway::call_handler::CallHandler;
 use crate::gateway::claims::{Claims, sweep};
-use crate::gateway::front::Front;
-use crate::gateway::message::{empty_response, whole_body};
+use crate::gateway::response::{empty_response, whole_body};
 use crate::http::{ConnectionTracker, ListenerSettings, serve_connections};
 use crate::leases::watch_leased_sets;
 use crate::operator::watch_operator;
@@ -326,7 +326,7 @@
 
 fn serve_callers(context: &Arc<NodeContext>, listener: TcpListener, tracker: ConnectionTracker) {
     let seed = digest(context.settings.instance.as_str().as_bytes()) as f64 / u64::MAX as f64;
-    let front = Arc::new(Front::new(Arc::clone(context), seed));
+    let call_handler = Arc::new(CallHandler::new(Arc::clone(context), seed));
     let context = Arc::clone(context);
     let settings = move || {
         let limits = context.limits();
@@ -336,8 +336,8 @@
         }
     };
     let serving = serve_connections(listener, settings, tracker, move |request| {
-        let front = Arc::clone(&front);
-        async move { front.answer(request).await }
+        let call_handler = Arc::clone(&call_handler);
+        async move { call_handler.answer(request).await }
     });
     tokio::spawn(serving);
 }
--- a/crates/sloetrail-serving/src/owner/reward.rs
+++ b/crates/sloetrail-serving/src/owner/reward.rs
@@ -4,7 +4,7 @@
 use super::reward_queue::Lane;
 use crate::context::NodeContext;
 use crate::events::{self, Event};
-use crate::gateway::attempt::Outgoing;
+use crate::gateway::attempt::OutgoingRequest;
 use crate::gateway::headers;
 use crate::gateway::live::LiveCall;
 use crate::http::WholeAnswer;
@@ -167,14 +167,14 @@
     Some(part.service)
 }
 
-fn outgoing(context: &NodeContext, reward: &RewardCall) -> Outgoing {
+fn outgoing(context: &NodeContext, reward: &RewardCall) -> OutgoingRequest {
     let names = context.dialect.headers();
     let mut sent = HeaderMap::new();
     headers::set_text(&mut sent, &HOST, &reward.host);
     headers::set_text(&mut sent, &names.request_id, &reward.id);
     let octets = HeaderValue::from_static("application/octet-stream");
     sent.insert(CONTENT_TYPE, octets);
-    Outgoing {
+    OutgoingRequest {
         request_id: reward.id.clone(),
         method: Method::POST,
         path_and_query: reward.path.clone(),
--- a/crates/sloetrail-serving/src/owner/run.rs
+++ b/crates/sloetrail-serving/src/owner/run.rs
@@ -7,7 +7,7 @@
 use crate::ended_lives::has_ended;
 use crate::event_stream::{EventParser, StreamEvent};
 use crate::gateway::attempt::{
-    AttemptResult, Outgoing, build_request, judge_failure, judge_head, settle_by_head,
+    AttemptResult, OutgoingRequest, build_request, classify_failure, classify_head, finish_exchange,
 };
 use crate::gateway::{caller, headers};
 use crate::http::{AnswerBody, Exchange, Reuse, SendFailure};
@@ -224,9 +224,9 @@
         if matches!(sent, Err(SendFailure::KeptSilent)) && self.may_send_again() {
             sent = self.send(&outgoing, reuse.after_try_at(began), due).await?;
         }
-        let exchange = sent.map_err(|failure| run_outcome(&judge_failure(failure)))?;
-        match judge_head(exchange.status, &exchange.headers, names, &outgoing) {
-            Some(result) => Err(run_outcome(&settle_by_head(exchange, result))),
+        let exchange = sent.map_err(|failure| run_outcome(&classify_failure(failure)))?;
+        match classify_head(exchange.status, &exchange.headers, names, &outgoing) {
+            Some(result) => Err(run_outcome(&finish_exchange(exchange, result))),
             None => Ok(exchange),
         }
     }
@@ -243,7 +243,7 @@
 
     async fn send(
         &self,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         reuse: Reuse,
         due: BootInstant,
     ) -> Result<Result<Exchange, SendFailure>, RunOutcome> {
@@ -258,7 +258,7 @@
         Ok(sending.await)
     }
 
-    fn outgoing(&self) -> Outgoing {
+    fn outgoing(&self) -> OutgoingRequest {
         let spec = &self.spec;
         let names = spec.context.dialect.headers();
         let mut sent = HeaderMap::new();
@@ -278,7 +278,7 @@
         }
         let octets = HeaderValue::from_static("application/octet-stream");
         sent.entry(CONTENT_TYPE).or_insert(octets);
-        Outgoing {
+        OutgoingRequest {
             request_id: spec.item.id.clone(),
             method: Method::POST,
             path_and_query: spec.item.path.clone(),
@@ -290,7 +290,7 @@
     async fn refused(&self, exchange: Exchange, due: BootInstant) -> RunOutcome {
         let status = exchange.status;
         if let Err(failure) = exchange.whole(REFUSAL_BYTES, due).await {
-            return run_outcome(&judge_failure(failure));
+            return run_outcome(&classify_failure(failure));
         }
         match status.as_u16() {
             422 => RunOutcome::Impossible,
@@ -384,8 +384,8 @@
         AttemptResult::NotRun => RunOutcome::NotRun,
         AttemptResult::WrongInstance => RunOutcome::WrongInstance,
         AttemptResult::NotSent => RunOutcome::NotSent,
-        AttemptResult::HeldBack => RunOutcome::HeldBack,
-        AttemptResult::OutOfTime => RunOutcome::Silent,
+        AttemptResult::Withheld => RunOutcome::HeldBack,
+        AttemptResult::TimedOut => RunOutcome::Silent,
         AttemptResult::RanAndFailed(_) => RunOutcome::Failed,
         AttemptResult::Answered(_) | AttemptResult::Lost | AttemptResult::TooLarge => {
             RunOutcome::Lost
--- a/crates/sloetrail-serving/src/quarantine/identity.rs
+++ b/crates/sloetrail-serving/src/quarantine/identity.rs
@@ -1,7 +1,7 @@
 //! What a request is known by, whatever its id.
 
 use crate::dialect::HeaderNames;
-use crate::gateway::attempt::Outgoing;
+use crate::gateway::attempt::OutgoingRequest;
 use bytes::Bytes;
 use http::header::HOST;
 use http::{HeaderValue, Method};
@@ -23,7 +23,7 @@
 
 impl RequestIdentity {
     /// The identity of a request as it goes to back ends.
-    pub(crate) fn of(outgoing: &Outgoing, names: &HeaderNames) -> Self {
+    pub(crate) fn of(outgoing: &OutgoingRequest, names: &HeaderNames) -> Self {
         Self {
             tenant: outgoing.headers.get(&names.tenant).cloned(),
             host: outgoing.headers.get(HOST).cloned(),
--- a/crates/sloetrail-serving/src/quarantine/run_watch.rs
+++ b/crates/sloetrail-serving/src/quarantine/run_watch.rs
@@ -36,10 +36,10 @@
             AttemptResult::Lost => self.lost(),
             AttemptResult::NotSent => self.not_reached(),
             // It may still run: as if it had been left.
-            AttemptResult::OutOfTime => {}
+            AttemptResult::TimedOut => {}
             AttemptResult::NotRun
             | AttemptResult::WrongInstance
-            | AttemptResult::HeldBack
+            | AttemptResult::Withheld
             | AttemptResult::TooLarge => self.not_lost(),
         }
     }
--- a/crates/sloetrail-serving/src/service_pools.rs
+++ b/crates/sloetrail-serving/src/service_pools.rs
@@ -6,12 +6,12 @@
 use crate::back_end::BackEnd;
 use crate::directory::Directory;
 use crate::directory_interest::DirectoryInterest;
-use crate::gateway::place_wait::PlaceOutlook;
+use crate::gateway::slot_wait::SlotWaitEstimate;
 use crate::leases::LeasedSets;
 use crate::operator::InForce;
-use crate::place_turns::{PlaceSeeker, PlaceTurns};
 use crate::relay::peers::Peers;
 use crate::settings::ServingSettings;
+use crate::slot_waiter::{ServiceSlotQueue, SlotWaiter};
 use crate::zone_work::{RunningInZone, WorkKind, ZoneWork};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -145,7 +145,7 @@
 
     /// When a request may have a place at a back end in its allowed regions; nothing if none
     /// takes work there.
-    pub(crate) fn place_outlook(&self, seeker: &PlaceSeeker) -> Option<PlaceOutlook> {
+    pub(crate) fn place_outlook(&self, seeker: &SlotWaiter) -> Option<SlotWaitEstimate> {
         let (service, regions) = (seeker.service(), &seeker.request().regions);
         let now = self.now();
         let state = self.state.lock().expect("not poisoned");
@@ -163,8 +163,8 @@
             (takes_work && is_allowed).then_some(pause.unwrap_or_default())
         });
         let soonest = pauses.min().unwrap_or_default();
-        Some(PlaceOutlook {
-            paused_for: (!soonest.is_zero()).then_some(soonest),
+        Some(SlotWaitEstimate {
+            backoff_remaining: (!soonest.is_zero()).then_some(soonest),
             answer_time: state.answer_times.get(service).map(LatencyQuantile::time),
             running: balancer.in_flight(),
             held_back_by: state.held_back_by(seeker),
@@ -192,7 +192,7 @@
     /// excluded, unless it is another one's turn.
     pub(crate) fn acquire(
         self: &Arc<Self>,
-        seeker: &PlaceSeeker,
+        seeker: &SlotWaiter,
         excluded: &BTreeSet<EngineId>,
     ) -> Option<Place> {
         let (service, tenant) = (seeker.service(), &seeker.request().tenant);
@@ -236,7 +236,7 @@
     pub(crate) fn with_turns<Outcome>(
         &self,
         service: &ServiceName,
-        work: impl FnOnce(&mut PlaceTurns) -> Outcome,
+        work: impl FnOnce(&mut ServiceSlotQueue) -> Outcome,
     ) -> Outcome {
         let mut state = self.state.lock().expect("not poisoned");
         work(state.turns(service))
@@ -244,7 +244,7 @@
 
     /// A request ended without ever having had a place. One that no back end may serve says
     /// nothing of how the places that there are were shared out.
-    pub(crate) fn note_missed(&self, seeker: &PlaceSeeker) {
+    pub(crate) fn note_missed(&self, seeker: &SlotWaiter) {
         let (service, regions) = (seeker.service(), &seeker.request().regions);
         let now = self.now();
         let mut state = self.state.lock().expect("not poisoned");
--- a/crates/sloetrail-serving/src/service_pools/state.rs
+++ b/crates/sloetrail-serving/src/service_pools/state.rs
@@ -6,9 +6,9 @@
 use crate::leases::LeasedSets;
 use crate::loss_backoff::LossBackoff;
 use crate::operator::InForce;
-use crate::place_turns::{PlaceSeeker, PlaceTurns};
 use crate::relay::peers::Peers;
 use crate::settings::ColdTolerance;
+use crate::slot_waiter::{ServiceSlotQueue, SlotWaiter};
 use rand::rngs::StdRng;
 use sloetrail_balance::{
     AttemptOutcome, Balancer, BalancerSettings, ColdBudget, ColdEngine, Demand, EngineReport,
@@ -41,7 +41,7 @@
     pub(super) in_force: Arc<InForce>,
     pub(super) leased_sets: Arc<LeasedSets>,
     pub(super) balancers: HashMap<ServiceName, Balancer>,
-    pub(super) turns: HashMap<ServiceName, PlaceTurns>,
+    pub(super) turns: HashMap<ServiceName, ServiceSlotQueue>,
     pub(super) answer_times: HashMap<ServiceName, LatencyQuantile>,
     pub(super) losses: BTreeMap<EngineId, LossBackoff>,
 }
@@ -99,9 +99,10 @@
     }
 
     /// The queue of those that wait for a place at a service.
-    pub(super) fn turns(&mut self, service: &ServiceName) -> &mut PlaceTurns {
+    pub(super) fn turns(&mut self, service: &ServiceName) -> &mut ServiceSlotQueue {
         if !self.turns.contains_key(service) {
-            self.turns.insert(service.clone(), PlaceTurns::default());
+            self.turns
+                .insert(service.clone(), ServiceSlotQueue::default());
         }
         self.turns.get_mut(service).expect("it was inserted")
     }
@@ -109,7 +110,7 @@
     /// False if a place that this request could have is another one's, which is told so.
     pub(super) fn ask_turn(
         &mut self,
-        seeker: &PlaceSeeker,
+        seeker: &SlotWaiter,
         excluded: &BTreeSet<EngineId>,
         now: Timestamp,
     ) -> bool {
@@ -142,7 +143,7 @@
         });
     }
 
-    pub(super) fn held_back_by(&self, seeker: &PlaceSeeker) -> usize {
+    pub(super) fn held_back_by(&self, seeker: &SlotWaiter) -> usize {
         let turns = self.turns.get(seeker.service());
         turns.map_or(0, |turns| turns.held_back_by(seeker))
     }
--- a/crates/sloetrail-serving/src/place_turns.rs
+++ b/crates/sloetrail-serving/src/slot_waiter.rs
@@ -10,14 +10,14 @@
 
 /// The queue of one service.
 #[derive(Debug, Default)]
-pub(crate) struct PlaceTurns {
+pub(crate) struct ServiceSlotQueue {
     queue: PlaceQueue,
     wakers: HashMap<PlaceTicket, Arc<Notify>>,
 }
 
-impl PlaceTurns {
+impl ServiceSlotQueue {
     /// Puts a request among those that wait.
-    fn join(&mut self, seeker: &PlaceSeeker) -> PlaceTicket {
+    fn join(&mut self, seeker: &SlotWaiter) -> PlaceTicket {
         let ticket = self.queue.join(&seeker.request, seeker.ticket);
         self.wakers.insert(ticket, Arc::clone(&seeker.woken));
         ticket
@@ -35,7 +35,7 @@
     }
 
     /// A place was taken.
-    pub(crate) fn began(&mut self, seeker: &PlaceSeeker) {
+    pub(crate) fn began(&mut self, seeker: &SlotWaiter) {
         self.queue.began(&seeker.request.tenant);
         if !seeker.has_had_place {
             self.queue.note_served(seeker.request.urgency, true);
@@ -43,7 +43,7 @@
     }
 
     /// A request ended without ever having had a place, though there are some.
-    pub(crate) fn missed(&mut self, seeker: &PlaceSeeker) {
+    pub(crate) fn missed(&mut self, seeker: &SlotWaiter) {
         self.queue.note_served(seeker.request.urgency, false);
     }
 
@@ -69,11 +69,11 @@
     /// if it does not take it.
     pub(crate) fn ask_turn(
         &mut self,
-        seeker: &PlaceSeeker,
+        seeker: &SlotWaiter,
         now: Timestamp,
         mut can_serve: impl FnMut(&AllowedRegions) -> bool,
     ) -> bool {
-        let PlaceSeeker {
+        let SlotWaiter {
             request, ticket, ..
         } = seeker;
         let is_turn = self.queue.is_turn_of(request, *ticket, now, &mut can_serve);
@@ -84,14 +84,14 @@
     }
 
     /// How many that wait go before a request whose tenant is beyond its share.
-    pub(crate) fn held_back_by(&self, seeker: &PlaceSeeker) -> usize {
+    pub(crate) fn held_back_by(&self, seeker: &SlotWaiter) -> usize {
         self.queue.held_back_by(&seeker.request, seeker.ticket)
     }
 }
 
 /// A live request's search for places, over all its attempts. It waits among the others of
 /// its service from its first wait until it has a place, gives up or is dropped.
-pub(crate) struct PlaceSeeker {
+pub(crate) struct SlotWaiter {
     pools: Arc<ServicePools>,
     service: ServiceName,
     request: PlaceRequest,
@@ -101,7 +101,7 @@
     woken: Arc<Notify>,
 }
 
-impl PlaceSeeker {
+impl SlotWaiter {
     /// A search that has not begun.
     pub(crate) fn new(
         pools: &Arc<ServicePools>,
@@ -161,7 +161,7 @@
     }
 }
 
-impl Drop for PlaceSeeker {
+impl Drop for SlotWaiter {
     fn drop(&mut self) {
         self.leave();
         if !self.has_had_place {
--- a/crates/sloetrail-serving/src/place_turns/tests.rs
+++ b/crates/sloetrail-serving/src/slot_waiter/tests.rs
@@ -1,6 +1,6 @@
 //! Those that wait, and what they may do to one another.
 
-use super::{PlaceSeeker, PlaceTurns};
+use super::{ServiceSlotQueue, SlotWaiter};
 use crate::service_pools::ServicePools;
 use crate::settings::ServingSettings;
 use crate::zone_work::ZoneWork;
@@ -30,13 +30,13 @@
     )
 }
 
-fn seeker(pools: &Arc<ServicePools>, priority: u8) -> PlaceSeeker {
+fn seeker(pools: &Arc<ServicePools>, priority: u8) -> SlotWaiter {
     let request = PlaceRequest {
         urgency: Urgency::new(None, priority),
         tenant: None,
         regions: AllowedRegions::everywhere(),
     };
-    PlaceSeeker::new(pools, &ServiceName::from("maps"), request)
+    SlotWaiter::new(pools, &ServiceName::from("maps"), request)
 }
 
 fn anywhere(_: &AllowedRegions) -> bool {
@@ -46,7 +46,7 @@
 #[test]
 fn one_that_does_not_look_holds_up_nobody_though_no_place_was_freed() {
     let pools = pools();
-    let mut turns = PlaceTurns::default();
+    let mut turns = ServiceSlotQueue::default();
     turns.join(&seeker(&pools, URGENT));
     let mut looking = seeker(&pools, PATIENT);
     looking.ticket = Some(turns.join(&looking));
