--- a/crates/sloetrail-serving/src/gateway/attempt.rs
+++ b/crates/sloetrail-serving/src/gateway/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt at a back end, judged: did it run, and is the answer whole?
+//! One attempt at a back end, and the classification of its result: whether the request ran
+//! and whether the answer is complete.
 
 use super::headers;
 use crate::back_end::BackEnd;
@@ -13,43 +14,41 @@
 use sloetrail_clock::BootInstant;
 use std::sync::Arc;
 
-/// A request as it goes to a back end, without what an attempt adds.
+/// A request to a back end, without the headers that each attempt adds.
 #[derive(Clone, Debug)]
 pub(crate) struct OutgoingRequest {
     pub(crate) request_id: String,
     pub(crate) method: Method,
     pub(crate) path_and_query: String,
-    /// End-to-end headers, with the `Host` and the request's id.
+    /// End-to-end headers, including `Host` and the request ID.
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-/// How an attempt ended, as far as the request is concerned.
+/// The result of an attempt.
 #[derive(Clone, Debug)]
 pub(crate) enum AttemptResult {
-    /// A whole answer that the caller may have: a success, or a refusal for a
-    /// reason that lies in the request.
+    /// A complete answer to forward: a success, or an error caused by the request itself.
     Answered(WholeAnswer),
-    /// The back end ran the request and answered with a failure.
+    /// The back end answered with a server error, 429 or 408.
     RanAndFailed(WholeAnswer),
-    /// The back end says that it did not run the request.
+    /// The back end declared that it did not run the request.
     NotRun,
-    /// Another back end listens at the address; the request was not run.
+    /// Another back end listens at the address; it did not run the request.
     WrongInstance,
-    /// The request did not leave this node.
+    /// The back end could not be reached; the request did not leave this node.
     NotSent,
-    /// The request did not leave this node: its back end takes no work any more.
+    /// The request did not leave this node, because sending it was no longer permitted.
     Withheld,
-    /// The connection broke, or the answer was cut, unsigned or of another request.
+    /// The connection broke, or the answer was truncated, unsigned or for another request.
     Lost,
-    /// No answer came in time.
     TimedOut,
-    /// The answer is over the bound.
+    /// The answer exceeds the size limit.
     TooLarge,
 }
 
 impl AttemptResult {
-    /// What the result says of the back end.
+    /// The outcome to report to the load balancer.
     pub(crate) fn outcome(&self) -> AttemptOutcome {
         match self {
             AttemptResult::Answered(_) => AttemptOutcome::Answered,
@@ -63,7 +62,7 @@
         }
     }
 
-    /// True if no back end ran the request in this attempt.
+    /// Returns true if the request certainly did not run in this attempt.
     pub(crate) fn is_proved_not_run(&self) -> bool {
         matches!(
             self,
@@ -74,13 +73,13 @@
         )
     }
 
-    /// True if nothing came back: the connection may have fallen silent, and others with it.
-    pub(crate) fn is_silence(&self) -> bool {
+    /// Returns true if no answer came in time: this connection and others may be unresponsive.
+    pub(crate) fn is_timeout(&self) -> bool {
         matches!(self, AttemptResult::TimedOut)
     }
 
-    /// A word for logs.
-    pub(crate) fn word(&self) -> &'static str {
+    /// A label for logs and metrics.
+    pub(crate) fn as_str(&self) -> &'static str {
         match self {
             AttemptResult::Answered(_) => "answered",
             AttemptResult::RanAndFailed(_) => "ran and failed",
@@ -95,8 +94,8 @@
     }
 }
 
-/// Builds the request of one attempt: the back end's life, the time left and the
-/// rank are added.
+/// Builds the HTTP request of one attempt, with the expected incarnation and the remaining time
+/// in its headers. Returns `None` if the path is not a valid URI.
 pub(crate) fn build_request(
     outgoing: &OutgoingRequest,
     back_end: &BackEnd,
@@ -114,17 +113,25 @@
     Some(request)
 }
 
-/// Sends one attempt and reads its whole answer.
-pub(crate) async fn attempt(
+/// Sends a request to a back end and reads the complete answer. Returns `Lost` as soon as this
+/// incarnation of the back end is known to have ended.
+pub(crate) async fn run_attempt(
     context: &NodeContext,
     outgoing: &OutgoingRequest,
-    passage: &Passage,
+    quarantine_permit: &Passage,
     back_end: &Arc<BackEnd>,
     reuse: Reuse,
     deadline: BootInstant,
 ) -> AttemptResult {
-    let watch = passage.watch_run(back_end);
-    let exchanging = exchange_whole(context, outgoing, passage, back_end, reuse, deadline);
+    let watch = quarantine_permit.watch_run(back_end);
+    let exchanging = exchange_whole(
+        context,
+        outgoing,
+        quarantine_permit,
+        back_end,
+        reuse,
+        deadline,
+    );
     let result = tokio::select! {
         biased;
         result = exchanging => result,
@@ -137,7 +144,7 @@
 async fn exchange_whole(
     context: &NodeContext,
     outgoing: &OutgoingRequest,
-    passage: &Passage,
+    quarantine_permit: &Passage,
     back_end: &BackEnd,
     reuse: Reuse,
     deadline: BootInstant,
@@ -147,7 +154,7 @@
         return AttemptResult::NotSent;
     };
     let connections = &context.connections;
-    let sending = connections.send(back_end, request, Some(passage), reuse, deadline);
+    let sending = connections.send(back_end, request, Some(quarantine_permit), reuse, deadline);
     let exchange = match sending.await {
         Ok(exchange) => exchange,
         Err(failure) => return classify_failure(failure),
@@ -161,8 +168,8 @@
     }
 }
 
-/// Ends an exchange of which the head has settled the result. The connection over which a back
-/// end has refused is kept.
+/// Finishes an exchange whose result follows from the head. After `NotRun` the rest of the
+/// answer is discarded, so that the connection can be reused.
 pub(crate) fn finish_exchange(exchange: Exchange, result: AttemptResult) -> AttemptResult {
     if matches!(result, AttemptResult::NotRun) {
         exchange.discard();
@@ -170,8 +177,8 @@
     result
 }
 
-/// What the head alone settles: an answer to another request, or one that says that
-/// the request was not run.
+/// Classifies an answer by its head: not run, another back end, or an answer to another
+/// request. Returns `None` if the body has to be read.
 pub(crate) fn classify_head(
     status: StatusCode,
     head: &HeaderMap,
@@ -188,7 +195,7 @@
     (echoed != Some(&outgoing.request_id)).then_some(AttemptResult::Lost)
 }
 
-/// What a whole answer says: a failure, or something that the caller may have.
+/// Classifies a complete answer. A success without a signature counts as lost.
 pub(crate) fn classify_answer(answer: WholeAnswer, names: &HeaderNames) -> AttemptResult {
     let is_signed = answer.headers.contains_key(&names.signature);
     if answer.status.is_success() && !is_signed {
--- a/crates/sloetrail-serving/src/gateway/body_budget.rs
+++ b/crates/sloetrail-serving/src/gateway/body_budget.rs
@@ -1,16 +1,16 @@
-//! A bound on the bytes of all request bodies that a node holds at a time.
+//! A limit on the total bytes of request bodies in a node's memory.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The bytes that request bodies may take together.
+/// A byte budget shared by all reservations.
 #[derive(Clone, Debug)]
 pub(crate) struct BodyBudget {
     limit: usize,
-    held: Arc<AtomicUsize>,
+    reserved: Arc<AtomicUsize>,
 }
 
-/// Bytes of one body; given back when dropped.
+/// The bytes reserved for one body; released on drop.
 #[derive(Debug)]
 pub(crate) struct BodyReservation {
     budget: BodyBudget,
@@ -18,15 +18,14 @@
 }
 
 impl BodyBudget {
-    /// A budget of so many bytes.
     pub(crate) fn new(limit: usize) -> Self {
         Self {
             limit,
-            held: Arc::default(),
+            reserved: Arc::default(),
         }
     }
 
-    /// Begins to hold a body of which nothing has come.
+    /// Returns an empty reservation.
     pub(crate) fn new_reservation(&self) -> BodyReservation {
         BodyReservation {
             budget: self.clone(),
@@ -36,19 +35,18 @@
 }
 
 impl BodyReservation {
-    /// Holds more bytes; false if they do not fit.
+    /// Reserves more bytes. Returns false, with nothing reserved, if they exceed the budget.
     pub(crate) fn try_grow(&mut self, more: usize) -> bool {
         let limit = self.budget.limit;
-        let fits = |held: usize| held.checked_add(more).filter(|held| *held <= limit);
-        let held = &self.budget.held;
-        let grown = held.fetch_update(Ordering::SeqCst, Ordering::SeqCst, fits);
+        let fits = |reserved: usize| reserved.checked_add(more).filter(|sum| *sum <= limit);
+        let reserved = &self.budget.reserved;
+        let grown = reserved.fetch_update(Ordering::SeqCst, Ordering::SeqCst, fits);
         if grown.is_ok() {
             self.bytes += more;
         }
         grown.is_ok()
     }
 
-    /// The bytes of this body.
     pub(crate) fn bytes(&self) -> usize {
         self.bytes
     }
@@ -56,7 +54,7 @@
 
 impl Drop for BodyReservation {
     fn drop(&mut self) {
-        self.budget.held.fetch_sub(self.bytes, Ordering::SeqCst);
+        self.budget.reserved.fetch_sub(self.bytes, Ordering::SeqCst);
     }
 }
 
--- a/crates/sloetrail-serving/src/gateway/body_budget/tests.rs
+++ b/crates/sloetrail-serving/src/gateway/body_budget/tests.rs
@@ -1,12 +1,12 @@
 use super::BodyBudget;
 
 #[test]
-fn bodies_share_the_budget_and_give_it_back() {
+fn dropped_reservations_return_their_bytes() {
     let budget = BodyBudget::new(100);
     let mut first = budget.new_reservation();
     let mut second = budget.new_reservation();
     assert!(first.try_grow(60) && second.try_grow(40));
-    assert!(!second.try_grow(1), "nothing is left");
+    assert!(!second.try_grow(1), "the budget is used up");
     assert_eq!((first.bytes(), second.bytes()), (60, 40));
     drop(first);
     assert!(second.try_grow(60) && !second.try_grow(1));
--- a/crates/sloetrail-serving/src/gateway/call_handler.rs
+++ b/crates/sloetrail-serving/src/gateway/call_handler.rs
@@ -1,4 +1,4 @@
-//! The entry of every call from outside.
+//! The handler of all calls from callers and trainers.
 
 use super::attempt::OutgoingRequest;
 use super::batch_call::BatchCall;
@@ -31,21 +31,22 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// An answer is due this much before its caller gives up.
+/// Answers are due this long before the caller's timeout.
 const ANSWER_MARGIN: Duration = Duration::from_millis(15);
 const NOT_READY_RETRY_MS: u64 = 200;
 const FULL_RETRY_MS: u64 = 250;
 
-/// The entry of every call from outside.
+/// Routes and answers all calls from callers and trainers.
 pub(crate) struct CallHandler {
     context: Arc<NodeContext>,
-    choices: Mutex<HashMap<String, WeightedChoice>>,
-    bodies: BodyBudget,
-    waiting: WaitingSubmissions,
-    seed: f64,
+    /// The choice among the services of each route, by the route's name.
+    service_choices: Mutex<HashMap<String, WeightedChoice>>,
+    body_budget: BodyBudget,
+    waiting_submissions: WaitingSubmissions,
+    choice_seed: f64,
 }
 
-/// A call as it was received, before its body was read.
+/// A received call whose body has not been read.
 struct ReceivedCall<'a> {
     head: Parts,
     body: Incoming,
@@ -53,34 +54,32 @@
     received: BootInstant,
 }
 
-/// A call of a known caller, with its body.
+/// A call of an identified caller, with its body.
 struct AdmittedCall<'a> {
     request_id: &'a RequestId,
     tenant: Option<&'a Tenant>,
-    /// Where it may be served.
     regions: AllowedRegions,
     body: Bytes,
 }
 
 impl CallHandler {
-    /// An entry; `seed` (between zero and one) differs from node to node.
-    pub(crate) fn new(context: Arc<NodeContext>, seed: f64) -> Self {
+    /// `choice_seed`, between zero and one, should differ between nodes.
+    pub(crate) fn new(context: Arc<NodeContext>, choice_seed: f64) -> Self {
         let body_budget_bytes = context.settings.bounds.body_budget_bytes;
         Self {
-            bodies: BodyBudget::new(body_budget_bytes),
-            waiting: WaitingSubmissions::new(body_budget_bytes),
+            body_budget: BodyBudget::new(body_budget_bytes),
+            waiting_submissions: WaitingSubmissions::new(body_budget_bytes),
             context,
-            choices: Mutex::default(),
-            seed,
+            service_choices: Mutex::default(),
+            choice_seed,
         }
     }
 
-    /// Answers a call.
     pub(crate) async fn answer(&self, request: Request<Incoming>) -> CallerResponse {
         let received = BootInstant::now();
         let (head, body) = request.into_parts();
         let names = self.context.dialect.headers();
-        let request_id = RequestId::of(&head.headers, names);
+        let request_id = RequestId::from_headers(&head.headers, names);
         let call = ReceivedCall {
             head,
             body,
@@ -93,30 +92,33 @@
 
     async fn dispatch(&self, call: ReceivedCall<'_>) -> CallerResponse {
         let Some(configuration) = self.context.configuration() else {
-            let problem = Problem::new(ResultCode::NodeNotReady, "no configuration yet");
+            let problem = Problem::new(
+                ResultCode::NodeNotReady,
+                "the node has not received a configuration yet",
+            );
             return problem_response(&problem.with_retry_after_ms(NOT_READY_RETRY_MS));
         };
         let names = self.context.dialect.headers();
         let version = configuration.revision;
-        let response = self.answer_under(&configuration, call).await;
+        let response = self.answer_with(&configuration, call).await;
         with_configuration_version(response, names, version)
     }
 
-    /// Answers a call under the configuration that is in force as it begins.
-    async fn answer_under(
+    /// Answers a call by the configuration that was in force when it arrived.
+    async fn answer_with(
         &self,
         configuration: &ServingConfiguration,
         call: ReceivedCall<'_>,
     ) -> CallerResponse {
         let head = &call.head;
-        if let Some(about_batch) = BatchCall::read(&self.context, head) {
-            return about_batch
+        if let Some(batch_call) = BatchCall::read(&self.context, head) {
+            return batch_call
                 .answer(&self.context, configuration, &head.headers)
                 .await;
         }
         let host = headers::host(&head.headers);
-        let found = configuration.routes.find(host, head.uri.path());
-        let deadline = self.deadline(&head.headers, found.map(|route| &**route), call.received);
+        let matched = configuration.routes.find(host, head.uri.path());
+        let deadline = self.deadline(&head.headers, matched.map(|route| &**route), call.received);
         let mut log = CallLog {
             configuration,
             request: call.request_id.as_str(),
@@ -125,15 +127,15 @@
             received: call.received,
             deadline,
         };
-        let Some(route) = found else {
+        let Some(route) = matched else {
             let detail = format!("{host}{}", head.uri.path());
-            return refused(&Problem::new(ResultCode::UnknownRoute, detail), &log);
+            return refuse(&Problem::new(ResultCode::UnknownRoute, detail), &log);
         };
         log.route = &route.name;
         self.answer_on_route(route, call, log).await
     }
 
-    /// Answers a call on its route, once it is known whose it is and where it may be served.
+    /// Identifies the caller, determines the allowed regions, reads the body and answers the call.
     async fn answer_on_route(
         &self,
         route: &Arc<Route>,
@@ -141,27 +143,31 @@
         mut log: CallLog<'_>,
     ) -> CallerResponse {
         let (context, request_id) = (&self.context, call.request_id);
-        let demand = ApiKeyRequirement::on(route);
-        let identified = caller::identify(context, log.configuration, &call.head.headers, demand);
+        let requirement = ApiKeyRequirement::for_route(route);
+        let identified =
+            caller::identify(context, log.configuration, &call.head.headers, requirement);
         let tenant = match identified {
             Ok(tenant) => tenant,
-            Err(problem) => return refused(&problem, &log),
+            Err(problem) => return refuse(&problem, &log),
         };
         let regions = match regions::allowed(route, tenant.as_deref()) {
             Ok(regions) => regions,
             Err(refusal) => {
                 log.regions = Some(AllowedRegions::only([]));
-                let batch = request_id.of_batch();
+                let batch = request_id.batch_id();
                 return self
-                    .allowed_nowhere(&log, route, batch, refusal, call.body)
+                    .answer_without_region(&log, route, batch, refusal, call.body)
                     .await;
             }
         };
         log.regions = Some(regions.clone());
-        let mut held = self.bodies.new_reservation();
-        let body = match self.read_body(call.body, &mut held, log.deadline).await {
+        let mut reservation = self.body_budget.new_reservation();
+        let body = match self
+            .read_body(call.body, &mut reservation, log.deadline)
+            .await
+        {
             Ok(body) => body,
-            Err(problem) => return refused(&problem, &log),
+            Err(problem) => return refuse(&problem, &log),
         };
         let admitted = AdmittedCall {
             request_id,
@@ -170,13 +176,13 @@
             body,
         };
         match route.kind {
-            RouteKind::Rollout => self.submission(&log, route, admitted).await,
-            _ => self.live(&log, route, call.head, admitted).await,
+            RouteKind::Rollout => self.answer_submission(&log, route, admitted).await,
+            _ => self.answer_live(&log, route, call.head, admitted).await,
         }
     }
 
-    /// Answers a call that goes to a back end while its caller waits.
-    async fn live(
+    /// Answers a live request.
+    async fn answer_live(
         &self,
         log: &CallLog<'_>,
         route: &Arc<Route>,
@@ -202,38 +208,38 @@
             tenant: tenant.map(|tenant| tenant.name.clone()),
             urgency: route.urgency(tenant),
             claim: None,
-            outgoing: self.outgoing(head, admitted.request_id, tenant, admitted.body),
+            outgoing: self.outgoing_request(head, admitted.request_id, tenant, admitted.body),
             deadline: log.deadline,
             route: Arc::clone(route),
         };
         self.run(call, keyed, log).await
     }
 
-    /// Runs a live request, once its key is claimed if it runs under one.
+    /// Claims the request's idempotency key, if it has one, and runs the request.
     async fn run(
         &self,
         mut call: LiveCall,
         keyed: Result<Option<KeyedSending>, Problem>,
         log: &CallLog<'_>,
     ) -> CallerResponse {
-        match self.claim(keyed, &call.outgoing).await {
+        match self.claim_key(keyed, &call.outgoing).await {
             Ok(Claimed::NotNeeded) => {}
             Ok(Claimed::ToSend(claim)) => call.claim = Some(claim),
             Ok(Claimed::Answered(answer)) => {
-                log.answered(answer.status.as_u16(), None, 0);
-                return passed_on(answer);
+                log.record_answer(answer.status.as_u16(), None, 0);
+                return forward_answer(answer);
             }
-            Err(problem) => return refused(&problem, log),
+            Err(problem) => return refuse(&problem, log),
         }
         match call.route.kind {
-            RouteKind::Stream => stream_answer(call, log).await,
-            _ => live_answer(call, log).await,
+            RouteKind::Stream => run_stream(call, log).await,
+            _ => run_to_answer(call, log).await,
         }
     }
 
-    /// Answers a call that may be served nowhere: with the refusal, unless it is a batch that
+    /// Refuses a call without an allowed region, unless it repeats the submission of a batch that
     /// was accepted under another configuration.
-    async fn allowed_nowhere(
+    async fn answer_without_region(
         &self,
         log: &CallLog<'_>,
         route: &Route,
@@ -241,22 +247,22 @@
         refusal: Problem,
         body: Incoming,
     ) -> CallerResponse {
-        let known = match route.kind {
+        let accepted = match route.kind {
             RouteKind::Rollout => submit::accepted_before(&self.context, batch, log.deadline).await,
             _ => Ok(None),
         };
-        let problem = match known {
+        let problem = match accepted {
             Ok(Some(header)) => {
-                skip_body(body, log.deadline).await;
+                drain_body(body, log.deadline).await;
                 return submit::accept_again(batch, &header, log.received);
             }
             Ok(None) => refusal,
-            Err(unknown) => unknown,
+            Err(unavailable) => unavailable,
         };
-        refused(&problem, log)
+        refuse(&problem, log)
     }
 
-    /// The earlier of the caller's and the route's time; now if neither is known.
+    /// Returns the earlier of the caller's and the route's deadline; now if there is neither.
     fn deadline(
         &self,
         headers: &HeaderMap,
@@ -265,48 +271,48 @@
     ) -> BootInstant {
         let names = self.context.dialect.headers();
         let caller_timeout = headers::caller_timeout(headers, names);
-        let times = caller_timeout
+        let timeouts = caller_timeout
             .into_iter()
             .chain(route.map(|route| route.timeout));
-        let time = times.min().unwrap_or_default();
-        received + time.saturating_sub(ANSWER_MARGIN)
+        let timeout = timeouts.min().unwrap_or_default();
+        received + timeout.saturating_sub(ANSWER_MARGIN)
     }
 
-    /// Reads a body whole, within the bounds of one body and of all together.
+    /// Reads a body within the size limit and the node's body budget.
     async fn read_body(
         &self,
         mut body: Incoming,
-        held: &mut BodyReservation,
+        reservation: &mut BodyReservation,
         deadline: BootInstant,
     ) -> Result<Bytes, Problem> {
         let limit = self.context.limits().body_bytes;
-        let mut pieces = BytesMut::new();
+        let mut bytes = BytesMut::new();
         loop {
             let frame = match sloetrail_clock::timeout_at(deadline, body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(error))) => {
-                    let detail = format!("the body was not sent whole: {error}");
+                    let detail = format!("request body truncated: {error}");
                     return Err(Problem::new(ResultCode::MalformedRequest, detail));
                 }
-                Ok(None) => return Ok(pieces.freeze()),
+                Ok(None) => return Ok(bytes.freeze()),
                 Err(_) => {
-                    let detail = "the body did not come";
+                    let detail = "the request body did not arrive before the deadline";
                     return Err(Problem::new(ResultCode::RequestTooSlow, detail));
                 }
             };
-            let Ok(piece) = frame.into_data() else {
+            let Ok(chunk) = frame.into_data() else {
                 continue;
             };
-            if held.bytes() + piece.len() > limit {
-                let detail = format!("over {limit} bytes");
+            if reservation.bytes() + chunk.len() > limit {
+                let detail = format!("request body larger than {limit} bytes");
                 return Err(Problem::new(ResultCode::BodyTooLarge, detail));
             }
-            if !held.try_grow(piece.len()) {
-                let detail = "the node holds as many bytes of requests as it may";
+            if !reservation.try_grow(chunk.len()) {
+                let detail = "the node's budget for request bodies is used up";
                 let problem = Problem::new(ResultCode::QueueFull, detail);
                 return Err(problem.with_retry_after_ms(FULL_RETRY_MS));
             }
-            pieces.extend_from_slice(&piece);
+            bytes.extend_from_slice(&chunk);
         }
     }
 
@@ -314,19 +320,19 @@
         if let [only] = route.services.as_slice() {
             return Some(only.service.clone());
         }
-        let mut choices = self.choices.lock().expect("not poisoned");
+        let mut choices = self.service_choices.lock().expect("not poisoned");
         let choice = choices
             .entry(route.name.clone())
-            .or_insert_with(|| WeightedChoice::new(self.seed));
-        let part = choice.next(&route.services)?;
-        Some(part.service.clone())
+            .or_insert_with(|| WeightedChoice::new(self.choice_seed));
+        let share = choice.next(&route.services)?;
+        Some(share.service.clone())
     }
 
-    async fn submission(
+    async fn answer_submission(
         &self,
         log: &CallLog<'_>,
         route: &Route,
-        submitted: AdmittedCall<'_>,
+        admitted: AdmittedCall<'_>,
     ) -> CallerResponse {
         let Some(service) = submit::batch_service(&route.services) else {
             let problem = Problem::new(ResultCode::NoEngine, "the route has no service");
@@ -336,18 +342,18 @@
             configuration: log.configuration,
             route,
             service,
-            id: submitted.request_id.of_batch(),
-            tenant: submitted.tenant,
-            regions: submitted.regions,
-            body: submitted.body,
+            id: admitted.request_id.batch_id(),
+            tenant: admitted.tenant,
+            regions: admitted.regions,
+            body: admitted.body,
             received: log.received,
             deadline: log.deadline,
         };
-        submit::submit(&self.context, &self.waiting, call).await
+        submit::submit(&self.context, &self.waiting_submissions, call).await
     }
 
-    /// Claims the key of a request, if it runs under one.
-    async fn claim(
+    /// Claims the request's idempotency key, if it has one.
+    async fn claim_key(
         &self,
         keyed: Result<Option<KeyedSending>, Problem>,
         outgoing: &OutgoingRequest,
@@ -358,9 +364,9 @@
         }
     }
 
-    /// A caller's request as it goes to a back end: with the tenant in place of its key, and
-    /// with an id.
-    fn outgoing(
+    /// Returns the request to send to a back end, with the request ID and with the tenant's name in
+    /// place of the API key.
+    fn outgoing_request(
         &self,
         head: Parts,
         request_id: &RequestId,
@@ -383,21 +389,20 @@
     }
 }
 
-/// Reads a body that is not needed, without keeping it, so that a caller that is still
-/// sending gets its answer.
-async fn skip_body(mut body: Incoming, deadline: BootInstant) {
+/// Reads and discards a body, so that a caller that is still sending receives its answer.
+async fn drain_body(mut body: Incoming, deadline: BootInstant) {
     let reading = async { while let Some(Ok(_)) = body.frame().await {} };
-    // A caller that sends on past its time reads no answer either.
+    // After the deadline the caller no longer reads the answer.
     let _ = sloetrail_clock::timeout_at(deadline, reading).await;
 }
 
-/// The node's own answer to a call that it does not run.
-fn refused(problem: &Problem, log: &CallLog<'_>) -> CallerResponse {
-    log.failed(problem, 0);
+/// Returns the problem document for a call that the node does not run, and records it.
+fn refuse(problem: &Problem, log: &CallLog<'_>) -> CallerResponse {
+    log.record_failure(problem, 0);
     problem_response(problem)
 }
 
-async fn live_answer(call: LiveCall, log: &CallLog<'_>) -> CallerResponse {
+async fn run_to_answer(call: LiveCall, log: &CallLog<'_>) -> CallerResponse {
     let outcome = call.run().await;
     if let Some(claim) = &call.claim {
         claim.end(outcome.answer.as_ref());
@@ -405,17 +410,17 @@
     match outcome.answer {
         Ok(answer) => {
             let status = answer.status.as_u16();
-            log.answered(status, outcome.back_end.as_ref(), outcome.attempts);
-            passed_on(answer)
+            log.record_answer(status, outcome.back_end.as_ref(), outcome.attempts);
+            forward_answer(answer)
         }
         Err(problem) => {
-            log.failed(&problem, outcome.attempts);
+            log.record_failure(&problem, outcome.attempts);
             problem_response(&problem)
         }
     }
 }
 
-async fn stream_answer(call: LiveCall, log: &CallLog<'_>) -> CallerResponse {
+async fn run_stream(call: LiveCall, log: &CallLog<'_>) -> CallerResponse {
     let claim = call.claim.clone();
     let outcome = stream::open(call).await;
     if let (Some(claim), Some(end)) = (claim, outcome.whole()) {
@@ -426,21 +431,21 @@
             status,
             headers: head,
             back_end,
-            pieces,
+            events,
         } => {
-            log.answered(status.as_u16(), Some(&back_end), 1);
-            let mut response = Response::new(stream_body(pieces));
+            log.record_answer(status.as_u16(), Some(&back_end), 1);
+            let mut response = Response::new(stream_body(events));
             *response.status_mut() = status;
             *response.headers_mut() = headers::end_to_end(&head);
             response
         }
-        StreamOutcome::Whole(answer) => passed_on(answer),
-        StreamOutcome::Problem(problem) => refused(&problem, log),
+        StreamOutcome::Whole(answer) => forward_answer(answer),
+        StreamOutcome::Problem(problem) => refuse(&problem, log),
     }
 }
 
-/// A back end's whole answer as it goes to the caller.
-fn passed_on(answer: WholeAnswer) -> CallerResponse {
+/// Returns a back end's complete answer as the response to the caller.
+fn forward_answer(answer: WholeAnswer) -> CallerResponse {
     let mut response = Response::new(whole_body(answer.body));
     *response.status_mut() = answer.status;
     let headers = headers::end_to_end(&answer.headers);
--- a/crates/sloetrail-serving/src/gateway/call_log.rs
+++ b/crates/sloetrail-serving/src/gateway/call_log.rs
@@ -1,4 +1,4 @@
-//! What is logged and counted of a call when it ends.
+//! The log event and the metrics of a call's end.
 
 use crate::events::{self, Event};
 use crate::telemetry;
@@ -7,25 +7,22 @@
 use sloetrail_routing::ServingConfiguration;
 use sloetrail_types::{AllowedRegions, EngineId};
 
-/// What is known of a call while it is answered.
+/// Data about a call in progress for its log event and metrics.
 pub(crate) struct CallLog<'a> {
-    /// The configuration that it is answered under.
     pub(crate) configuration: &'a ServingConfiguration,
-    /// Its id.
+    /// The request ID.
     pub(crate) request: &'a str,
-    /// The route's name, or `-` if there is none.
+    /// The route's name, or `-` if no route matches.
     pub(crate) route: &'a str,
-    /// The regions that it may be served in, once they are known.
+    /// The allowed regions, once known.
     pub(crate) regions: Option<AllowedRegions>,
-    /// When it was received.
     pub(crate) received: BootInstant,
-    /// When its final answer is due.
     pub(crate) deadline: BootInstant,
 }
 
 impl CallLog<'_> {
-    /// A back end's answer is passed on.
-    pub(crate) fn answered(&self, status: u16, back_end: Option<&EngineId>, attempts: usize) {
+    /// Records that an answer is forwarded to the caller.
+    pub(crate) fn record_answer(&self, status: u16, back_end: Option<&EngineId>, attempts: usize) {
         let took = self.received.elapsed();
         telemetry::request_ended(self.route, status, 0, took);
         events::emit(&Event::RequestAnswered {
@@ -39,8 +36,8 @@
         });
     }
 
-    /// The node answers with a problem of its own.
-    pub(crate) fn failed(&self, problem: &Problem, attempts: usize) {
+    /// Records that the node answers with its own error.
+    pub(crate) fn record_failure(&self, problem: &Problem, attempts: usize) {
         let left = self.deadline.saturating_duration_since(BootInstant::now());
         let took = self.received.elapsed();
         telemetry::request_ended(self.route, problem.status, problem.code, took);
--- a/crates/sloetrail-serving/src/gateway/caller.rs
+++ b/crates/sloetrail-serving/src/gateway/caller.rs
@@ -1,7 +1,7 @@
-//! Who a caller is: known by its key where the configuration names tenants.
+//! Identification of callers by API key, where the configuration defines tenants.
 //!
-//! A key ends here. It goes to no back end, into no row, line or answer; what goes on is
-//! the tenant's name, whatever the caller itself has written there.
+//! API keys are never forwarded, stored, logged or returned. Back ends get the tenant's name,
+//! which replaces whatever the caller sent in that header.
 
 use super::headers;
 use crate::context::NodeContext;
@@ -13,22 +13,20 @@
 use sloetrail_types::TenantName;
 use std::sync::Arc;
 
-/// When to come back after a node could not tell whether a key is new: another node can
-/// tell at once.
+/// Retry delay if the node cannot check whether an unknown key is new. Another node may know it.
 const STALE_RETRY_MS: u64 = 200;
 
-/// Whether callers have to show a key.
+/// Whether callers must send an API key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ApiKeyRequirement {
-    /// They have to, if the configuration names tenants.
+    /// Required if the configuration defines tenants.
     Required,
-    /// They need not; a key that is known still tells the tenant.
+    /// Not required; a known key still identifies the tenant.
     Optional,
 }
 
 impl ApiKeyRequirement {
-    /// What callers of a route have to show.
-    pub(crate) fn on(route: &Route) -> Self {
+    pub(crate) fn for_route(route: &Route) -> Self {
         match route.is_public {
             true => ApiKeyRequirement::Optional,
             false => ApiKeyRequirement::Required,
@@ -36,15 +34,17 @@
     }
 }
 
-/// The tenant that a caller belongs to; nothing if it need not belong to one.
+/// Returns the caller's tenant, or `None` if no tenant is required.
 ///
-/// A key that is not known is refused, unless this node cannot learn of new keys just
-/// now: then another node has to tell.
+/// # Errors
+///
+/// `UnknownApiKey` if a required key is missing or unknown; `ConfigurationStale` instead while
+/// the table is down, since this node cannot learn of new keys then.
 pub(crate) fn identify(
     context: &NodeContext,
     configuration: &ServingConfiguration,
     headers: &HeaderMap,
-    demand: ApiKeyRequirement,
+    requirement: ApiKeyRequirement,
 ) -> Result<Option<Arc<Tenant>>, Problem> {
     let Some(tenants) = &configuration.tenants else {
         return Ok(None);
@@ -52,25 +52,30 @@
     let names = context.dialect.headers();
     let key = headers::text(headers, &names.api_key);
     let tenant = key.and_then(|key| tenants.of_key(key));
-    match (tenant, key, demand) {
+    match (tenant, key, requirement) {
         (Some(tenant), _, _) => Ok(Some(Arc::clone(tenant))),
         (None, _, ApiKeyRequirement::Optional) => Ok(None),
-        (None, None, ApiKeyRequirement::Required) => {
-            Err(Problem::new(ResultCode::UnknownApiKey, "no key was sent"))
-        }
+        (None, None, ApiKeyRequirement::Required) => Err(Problem::new(
+            ResultCode::UnknownApiKey,
+            "the request has no API key",
+        )),
         (None, Some(_), ApiKeyRequirement::Required) => Err(unknown_key(context)),
     }
 }
 
 fn unknown_key(context: &NodeContext) -> Problem {
     if context.table.is_answering() {
-        return Problem::new(ResultCode::UnknownApiKey, "the key belongs to no tenant");
+        return Problem::new(
+            ResultCode::UnknownApiKey,
+            "the API key belongs to no tenant",
+        );
     }
-    let detail = "the key is not known here, and the table does not tell whether it is new";
+    let detail =
+        "the API key is unknown to this node, and the table does not answer to check for new keys";
     Problem::new(ResultCode::ConfigurationStale, detail).with_retry_after_ms(STALE_RETRY_MS)
 }
 
-/// True if a caller may know of a batch: it is its tenant's, or nobody's.
+/// Returns true if the batch belongs to the caller's tenant, or if either has no tenant.
 pub(crate) fn may_access_batch(header: &BatchHeader, caller: Option<&Tenant>) -> bool {
     match (&header.tenant, caller) {
         (Some(owner), Some(caller)) => *owner == caller.name,
@@ -78,8 +83,8 @@
     }
 }
 
-/// Replaces the caller's key, and what it says of its tenant, by the tenant's name. The
-/// idempotency key ends here too.
+/// Sets the tenant header to the identified tenant, if any, and removes the API key and the
+/// idempotency key.
 pub(crate) fn set_tenant(
     headers: &mut HeaderMap,
     names: &HeaderNames,
--- a/crates/sloetrail-serving/src/gateway/headers.rs
+++ b/crates/sloetrail-serving/src/gateway/headers.rs
@@ -1,4 +1,4 @@
-//! Headers on their way through a node.
+//! Reading, writing and filtering of HTTP headers.
 
 use crate::dialect::HeaderNames;
 use http::header::{
@@ -11,16 +11,16 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// The headers that go along: all but those of a single connection.
+/// Returns the end-to-end headers: all but hop-by-hop headers, `Expect` and `Content-Length`.
 pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    let named = named_by_connection(headers);
-    let mut kept = HeaderMap::with_capacity(headers.len());
+    let connection_options = connection_options(headers);
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        if !is_hop_by_hop(name) && !named.contains(name) {
-            kept.append(name.clone(), value.clone());
+        if !is_hop_by_hop(name) && !connection_options.contains(name) {
+            forwarded.append(name.clone(), value.clone());
         }
     }
-    kept
+    forwarded
 }
 
 fn is_hop_by_hop(name: &HeaderName) -> bool {
@@ -40,7 +40,8 @@
     .contains(name)
 }
 
-fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
+/// The header names listed in `Connection`, which are hop-by-hop too.
+fn connection_options(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all(CONNECTION).iter();
     values
         .filter_map(|value| value.to_str().ok())
@@ -49,33 +50,30 @@
         .collect()
 }
 
-/// A header's value as text.
 pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok().map(str::trim)
 }
 
-/// A header's value as a whole number.
 pub(crate) fn number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     text(headers, name)?.parse().ok()
 }
 
-/// The time that a caller waits, if it says so.
+/// The time that the caller waits for its answer, if it sent one.
 pub(crate) fn caller_timeout(headers: &HeaderMap, names: &HeaderNames) -> Option<Duration> {
     number(headers, &names.deadline_ms).map(Duration::from_millis)
 }
 
-/// The `Host` of a request without its port.
+/// The `Host` without its port; empty if missing.
 pub(crate) fn host(headers: &HeaderMap) -> &str {
     let host = text(headers, &HOST).unwrap_or_default();
     host.split(':').next().unwrap_or_default()
 }
 
-/// Sets a header to a number.
 pub(crate) fn set_number(headers: &mut HeaderMap, name: &HeaderName, value: u64) {
     headers.insert(name.clone(), HeaderValue::from(value));
 }
 
-/// Sets a header to a text; a text that no header can carry is left out.
+/// Sets a header, unless the text is not a valid header value.
 pub(crate) fn set_text(headers: &mut HeaderMap, name: &HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name.clone(), value);
--- a/crates/sloetrail-serving/src/gateway/live.rs
+++ b/crates/sloetrail-serving/src/gateway/live.rs
@@ -1,11 +1,11 @@
-//! A live request: attempts at back ends until there is an answer to pass on.
+//! Live requests: retries and hedging until there is an answer to forward.
 //!
-//! A request that may be repeated is sent to a second back end when the first one
-//! is slow or fails, up to the route's number of attempts; the first whole answer
-//! wins and the others are closed. A request that may not be repeated is sent again
-//! only after proof that it has not run. What is given up is answered at once.
+//! An idempotent request goes to another back end when the first is slow or fails, up to the
+//! route's number of attempts. The first complete answer is returned and the other attempts are
+//! closed. Other requests are sent again only if they certainly did not run. A request that
+//! fails is answered immediately, without waiting for its deadline.
 
-use super::attempt::{AttemptResult, OutgoingRequest, attempt};
+use super::attempt::{AttemptResult, OutgoingRequest, run_attempt};
 use super::claims::Claim;
 use super::slot_wait::{self, SlotWait, SlotWaitEstimate, WaitBounds};
 use crate::context::NodeContext;
@@ -29,153 +29,148 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Part of the latency target after which a second back end is asked.
-const HEDGE_SHARE: f64 = 0.35;
-/// The same while most answers take longer: a second answer still comes about in time.
-const HEDGE_SHARE_MOST: f64 = 0.8;
-const HEDGE_LEAST: Duration = Duration::from_millis(20);
-/// With less time than this an attempt is not worth beginning.
-const TIME_LEAST: Duration = Duration::from_millis(5);
-/// Attempts that were proved not to run are not counted, but they are bounded.
+/// Fraction of the latency target after which a hedged attempt starts.
+const HEDGE_FRACTION: f64 = 0.35;
+/// Maximum of this fraction while answers are slow: a hedged answer can still meet the target.
+const MAX_HEDGE_FRACTION: f64 = 0.8;
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(20);
+/// No attempt starts with less time than this until the deadline.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(5);
+/// Limits all sends, including those that did not run and don't count as attempts.
 pub(super) const MAX_SENDS: usize = 8;
 
-/// A live request with its route.
 pub(crate) struct LiveCall {
     pub(crate) context: Arc<NodeContext>,
     pub(crate) route: Arc<Route>,
     pub(crate) service: ServiceName,
-    /// The regions in which it may be served.
     pub(crate) regions: AllowedRegions,
     pub(crate) outgoing: OutgoingRequest,
-    /// Whose use it counts as; nothing for calls of the node itself.
+    /// The tenant whose usage includes it; `None` for calls without a tenant.
     pub(crate) tenant: Option<TenantName>,
-    /// How urgent it is among those that wait for a place.
     pub(crate) urgency: Urgency,
-    /// The claim of its key, if it runs under one.
+    /// The claim of its idempotency key, if it has one.
     pub(crate) claim: Option<Arc<Claim>>,
-    /// When its final answer is due.
     pub(crate) deadline: BootInstant,
 }
 
-/// What became of a live request.
+/// The outcome of a live request.
 pub(crate) struct LiveOutcome {
-    /// The answer to pass on, or why there is none.
+    /// The answer to forward, or the node's own error.
     pub(crate) answer: Result<WholeAnswer, Problem>,
-    /// The back end whose answer it is.
+    /// The back end that answered.
     pub(crate) back_end: Option<EngineId>,
-    /// Back ends that may have run the request.
+    /// The number of sends.
     pub(crate) attempts: usize,
-    /// Answers that say that the request itself failed; one that ran out of time, or
-    /// that a broken back end gave, says nothing of the request.
+    /// Answers with status 500: the request itself failed. Other errors are not counted.
     pub(crate) failed_answers: usize,
 }
 
-struct Attempted {
-    /// The number of the send.
+struct EndedAttempt {
+    /// The number of the send, starting at 1.
     send: usize,
-    place: Place,
+    slot: Place,
     result: AttemptResult,
     took: Duration,
 }
 
 struct Run<'a> {
     call: &'a LiveCall,
-    seeker: SlotWaiter,
+    waiter: SlotWaiter,
     wait: SlotWait,
-    pending: FuturesUnordered<BoxFuture<'static, Attempted>>,
+    pending: FuturesUnordered<BoxFuture<'static, EndedAttempt>>,
     tried: BTreeSet<EngineId>,
-    /// The connections that the next attempt may use.
+    /// The connections that the next attempt may reuse.
     reuse: Reuse,
-    /// True once an attempt has ended in silence.
-    has_met_silence: bool,
+    has_timed_out: bool,
     sends: usize,
-    may_have_run: usize,
+    /// Ended attempts that may have run.
+    possible_runs: usize,
     failed_answers: usize,
     last_failure: Option<(WholeAnswer, EngineId)>,
     last_result: Option<&'static str>,
-    begun: Option<BegunRequest>,
-    passage: Passage,
+    /// The request's entry in the tenant's usage.
+    counted: Option<BegunRequest>,
+    quarantine_permit: Passage,
 }
 
 impl LiveCall {
-    /// Runs the request to its final answer.
+    /// Runs the request until its final answer.
     pub(crate) async fn run(&self) -> LiveOutcome {
-        let mut passage = self.passage();
-        passage.ask_for_trial(self.deadline).await;
+        let mut quarantine_permit = self.quarantine_permit();
+        quarantine_permit.ask_for_trial(self.deadline).await;
         let run = Run {
-            passage,
+            quarantine_permit,
             call: self,
-            seeker: self.place_seeker(),
+            waiter: self.new_slot_waiter(),
             wait: SlotWait::default(),
             pending: FuturesUnordered::new(),
             tried: BTreeSet::new(),
             reuse: self.reuse(),
-            has_met_silence: false,
+            has_timed_out: false,
             sends: 0,
-            may_have_run: 0,
+            possible_runs: 0,
             failed_answers: 0,
             last_failure: None,
             last_result: None,
-            begun: self.begun_request(),
+            counted: self.counted_request(),
         };
         run.run_to_end().await
     }
 
-    /// What counts the request, if it is counted.
-    pub(crate) fn begun_request(&self) -> Option<BegunRequest> {
+    /// Returns the request's entry in the tenant's usage, if it has a tenant and usage is counted.
+    pub(crate) fn counted_request(&self) -> Option<BegunRequest> {
         let usage = self.context.usage.as_ref()?;
         Some(BegunRequest::new(usage, self.tenant.as_ref()?))
     }
 
-    /// The request is being sent to a back end.
+    /// Records in the claim that the request is about to be sent.
     pub(crate) fn note_send(&self) {
         if let Some(claim) = &self.claim {
             claim.note_send();
         }
     }
 
-    /// A sending to a back end is proved not to have run.
+    /// Records in the claim that a send certainly did not run.
     pub(crate) fn note_not_run(&self) {
         if let Some(claim) = &self.claim {
             claim.note_not_run();
         }
     }
 
-    /// An attempt at a back end ended without an answer to pass on.
-    pub(crate) fn note_failed_attempt(
+    /// Logs an attempt that ended without an answer to forward.
+    pub(crate) fn log_failed_attempt(
         &self,
-        passage: &Passage,
-        place: &Place,
+        quarantine_permit: &Passage,
+        slot: &Place,
         result: &AttemptResult,
         took: Duration,
     ) {
         let may_have_run = !result.is_proved_not_run();
-        let digest = may_have_run.then(|| passage.digest());
+        let digest = may_have_run.then(|| quarantine_permit.digest());
         events::emit(&Event::AttemptFailed {
             request: &self.outgoing.request_id,
-            back_end: place.back_end().id.as_str(),
-            outcome: result.word(),
+            back_end: slot.back_end().id.as_str(),
+            outcome: result.as_str(),
             took_ms: took.as_millis() as u64,
-            directory_version: place.directory_version().0,
+            directory_version: slot.directory_version().0,
             digest: &digest.map_or_else(|| "-".to_owned(), |digest| digest.to_string()),
         });
     }
 
-    /// What lets the request go to back ends.
-    pub(crate) fn passage(&self) -> Passage {
+    /// Returns the permit that the quarantine checks before each send.
+    pub(crate) fn quarantine_permit(&self) -> Passage {
         let identity = RequestIdentity::of(&self.outgoing, self.context.dialect.headers());
         Passage::new(&self.context.quarantine, &self.service, identity)
     }
 
-    /// Waits until this moment, and then until back ends may be chosen: the process may have
-    /// stood still while an attempt was pending.
-    async fn choice_due(&self, from: BootInstant) {
-        sloetrail_clock::sleep_until(from).await;
+    /// Waits until a hedged attempt is due, and then until back ends may be chosen: the directory
+    /// may be outdated if the process was suspended in between.
+    async fn wait_for_hedge(&self, due_at: BootInstant) {
+        sloetrail_clock::sleep_until(due_at).await;
         self.context.pause_guard.settled().await;
     }
 
-    /// The search for places at back ends that may serve the request.
-    pub(crate) fn place_seeker(&self) -> SlotWaiter {
+    pub(crate) fn new_slot_waiter(&self) -> SlotWaiter {
         let request = PlaceRequest {
             urgency: self.urgency,
             tenant: self.tenant.clone(),
@@ -184,203 +179,207 @@
         SlotWaiter::new(&self.context.pools, &self.service, request)
     }
 
-    /// Waits for its turn, for a moment at most, if a place is likely to come free soon; false
-    /// if it is not.
-    pub(crate) async fn wait_for_place(
-        &self,
-        seeker: &mut SlotWaiter,
-        wait: &mut SlotWait,
-    ) -> bool {
-        let outlook = self.place_outlook(seeker);
-        let is_held_back = outlook.is_some_and(|outlook| outlook.held_back_by > 0);
+    /// Waits for a slot offer or until the next check. Returns false without waiting if the
+    /// request should be refused.
+    pub(crate) async fn wait_for_slot(&self, waiter: &mut SlotWaiter, wait: &mut SlotWait) -> bool {
+        let estimate = self.place_outlook(waiter);
+        let is_above_share = estimate.is_some_and(|estimate| estimate.held_back_by > 0);
         let now = BootInstant::now();
         let bounds = WaitBounds {
             latency_target: self.route.latency_target,
-            left: self.deadline.saturating_duration_since(now),
+            time_left: self.deadline.saturating_duration_since(now),
         };
-        let next_look = wait.next_look(now, outlook, bounds);
-        if is_held_back {
-            telemetry::tenant_held_back(self.service.as_str(), next_look.is_some());
+        let next_check = wait.next_check(now, estimate, bounds);
+        if is_above_share {
+            telemetry::tenant_held_back(self.service.as_str(), next_check.is_some());
         }
-        let Some(next_look) = next_look else {
+        let Some(next_check) = next_check else {
             return false;
         };
-        seeker.wait_until(next_look).await;
+        waiter.wait_until(next_check).await;
         true
     }
 
-    /// When a caller that is refused should come back.
-    pub(crate) fn retry_after(&self, seeker: &SlotWaiter) -> Duration {
-        let left = self.deadline.saturating_duration_since(BootInstant::now());
-        slot_wait::retry_after(self.place_outlook(seeker), left, rand::random())
+    /// Returns the retry delay if the request is refused.
+    pub(crate) fn retry_after(&self, waiter: &SlotWaiter) -> Duration {
+        let time_left = self.deadline.saturating_duration_since(BootInstant::now());
+        slot_wait::retry_after(self.place_outlook(waiter), time_left, rand::random())
     }
 
-    /// Why no place was had, for people.
-    pub(crate) fn no_place(&self, seeker: &SlotWaiter) -> String {
+    /// Describes why the request got no slot.
+    pub(crate) fn no_slot_detail(&self, waiter: &SlotWaiter) -> String {
         let (service, regions) = (&self.service, &self.regions);
         match self
-            .place_outlook(seeker)
-            .map(|outlook| outlook.held_back_by)
+            .place_outlook(waiter)
+            .map(|estimate| estimate.held_back_by)
         {
-            None => format!("service {service}: no back end takes work; regions: {regions}"),
-            Some(0) => format!("service {service}: no back end has room"),
-            Some(first) => format!(
-                "service {service}: no back end has room; the tenant has more than its share \
-                 under way, and {first} requests go first"
+            None => format!("service {service}: no back end takes work in regions {regions}"),
+            Some(0) => format!("service {service}: no back end has a free slot"),
+            Some(ahead) => format!(
+                "service {service}: no back end has a free slot; the tenant is above its share, \
+                 and {ahead} requests are ahead"
             ),
         }
     }
 
-    /// The code of a request that found no place: where it is allowed in some regions only and
-    /// no back end there takes work, engines elsewhere are of no use to it.
-    pub(crate) fn no_engine(&self, seeker: &SlotWaiter) -> ResultCode {
-        match self.place_outlook(seeker) {
+    /// Returns the code of a request without a slot: `NoAllowedEngine` if its regions are
+    /// restricted and no back end there takes work.
+    pub(crate) fn no_engine_code(&self, waiter: &SlotWaiter) -> ResultCode {
+        match self.place_outlook(waiter) {
             None if !self.regions.is_everywhere() => ResultCode::NoAllowedEngine,
             _ => ResultCode::NoEngine,
         }
     }
 
-    fn place_outlook(&self, seeker: &SlotWaiter) -> Option<SlotWaitEstimate> {
-        self.context.pools.place_outlook(seeker)
+    fn place_outlook(&self, waiter: &SlotWaiter) -> Option<SlotWaitEstimate> {
+        self.context.pools.place_outlook(waiter)
     }
 
     fn reuse(&self) -> Reuse {
-        match self.is_repeatable() {
+        match self.is_idempotent() {
             true => Reuse::Any,
             false => Reuse::Never,
         }
     }
 
-    fn is_repeatable(&self) -> bool {
+    fn is_idempotent(&self) -> bool {
         self.route.kind == RouteKind::Idempotent
     }
 
-    fn share_of_target(&self, share: f64) -> Duration {
-        self.route.latency_target.mul_f64(share)
+    fn fraction_of_target(&self, fraction: f64) -> Duration {
+        self.route.latency_target.mul_f64(fraction)
     }
 }
 
 impl Run<'_> {
     async fn run_to_end(mut self) -> LiveOutcome {
         let call = self.call;
-        let hedge_after = self.hedge_after();
+        let hedge_delay = self.hedge_delay();
         let mut next_hedge = BootInstant::now();
         loop {
             if self.pending.is_empty() {
                 if !self.may_try_again() {
-                    return self.give_up();
+                    return self.finish_unanswered();
                 }
-                if !self.start_or_wait().await {
-                    return self.give_up();
+                if !self.start_attempt_or_wait().await {
+                    return self.finish_unanswered();
                 }
-                next_hedge = BootInstant::now() + hedge_after;
+                next_hedge = BootInstant::now() + hedge_delay;
             }
-            let may_hedge = self.call.is_repeatable() && self.has_attempts_left();
+            let may_hedge = self.call.is_idempotent() && self.has_attempts_left();
             tokio::select! {
-                Some(attempted) = self.pending.next() => {
-                    if let Some(outcome) = self.take(attempted) {
+                Some(attempt) = self.pending.next() => {
+                    if let Some(outcome) = self.handle_end(attempt) {
                         return outcome;
                     }
                 }
-                () = call.choice_due(next_hedge), if may_hedge => {
-                    if self.passage.may_be_hedged() {
-                        self.start();
+                () = call.wait_for_hedge(next_hedge), if may_hedge => {
+                    if self.quarantine_permit.may_be_hedged() {
+                        self.start_attempt();
                     }
-                    next_hedge = BootInstant::now() + hedge_after;
+                    next_hedge = BootInstant::now() + hedge_delay;
                 }
-                () = sloetrail_clock::sleep_until(self.call.deadline) => return self.give_up(),
+                () = sloetrail_clock::sleep_until(self.call.deadline) => return self.finish_unanswered(),
             }
         }
     }
 
-    /// How long a back end is waited for before a second one is asked. While answers take
-    /// longer than usual, a second back end would be as slow, and have the more to do.
-    fn hedge_after(&self) -> Duration {
-        let usual = self.call.share_of_target(HEDGE_SHARE).max(HEDGE_LEAST);
-        let latest = self.call.share_of_target(HEDGE_SHARE_MOST).max(usual);
+    /// Returns the time before a hedged attempt starts. It grows with the answer times, since
+    /// hedging while all back ends are slow only adds load.
+    fn hedge_delay(&self) -> Duration {
+        let min_delay = self
+            .call
+            .fraction_of_target(HEDGE_FRACTION)
+            .max(MIN_HEDGE_DELAY);
+        let max_delay = self
+            .call
+            .fraction_of_target(MAX_HEDGE_FRACTION)
+            .max(min_delay);
         if !self.call.context.settings.policies.hedge_by_answer_times {
-            return usual;
+            return min_delay;
         }
         let pools = &self.call.context.pools;
-        pools.answer_time(&self.call.service).clamp(usual, latest)
+        pools
+            .answer_time(&self.call.service)
+            .clamp(min_delay, max_delay)
     }
 
     fn has_attempts_left(&self) -> bool {
-        let possible = self.may_have_run + self.pending.len();
-        let most = match self.passage.is_on_trial() {
+        let max_possible_runs = self.possible_runs + self.pending.len();
+        let max_attempts = match self.quarantine_permit.is_on_trial() {
             true => 1,
             false => self.call.route.max_attempts,
         };
-        possible < most && self.sends < MAX_SENDS
+        max_possible_runs < max_attempts && self.sends < MAX_SENDS
     }
 
     fn may_try_again(&self) -> bool {
-        let left = self
+        let time_left = self
             .call
             .deadline
             .saturating_duration_since(BootInstant::now());
-        let is_safe = self.call.is_repeatable() || self.may_have_run == 0;
-        let has_time = self.has_attempts_left() && left > TIME_LEAST;
-        is_safe && has_time && self.passage.is_open()
+        let is_safe = self.call.is_idempotent() || self.possible_runs == 0;
+        let has_time = self.has_attempts_left() && time_left > MIN_ATTEMPT_TIME;
+        is_safe && has_time && self.quarantine_permit.is_open()
     }
 
-    /// Starts an attempt; if no back end has room, waits while a place is likely to come
-    /// free soon. False if there is none, or if the time is over once back ends may be chosen.
-    async fn start_or_wait(&mut self) -> bool {
+    /// Starts an attempt, waiting for a slot if that is likely to succeed. Returns false if the
+    /// request got no slot or may not be tried again.
+    async fn start_attempt_or_wait(&mut self) -> bool {
         loop {
             self.call.context.pause_guard.settled().await;
             if !self.may_try_again() {
                 return false;
             }
-            if self.start() {
+            if self.start_attempt() {
                 return true;
             }
-            // Those that refused without running the request may have room now.
+            // Back ends that refused the request may have a free slot now.
             self.tried.clear();
-            if self.start() {
+            if self.start_attempt() {
                 return true;
             }
             let Self {
-                call, seeker, wait, ..
+                call, waiter, wait, ..
             } = self;
-            if !call.wait_for_place(seeker, wait).await {
+            if !call.wait_for_slot(waiter, wait).await {
                 return false;
             }
         }
     }
 
-    fn start(&mut self) -> bool {
+    fn start_attempt(&mut self) -> bool {
         let context = Arc::clone(&self.call.context);
-        let Some(place) = self.seeker.acquire(&self.tried) else {
+        let Some(slot) = self.waiter.acquire(&self.tried) else {
             return false;
         };
-        self.tried.insert(place.back_end().id.clone());
+        self.tried.insert(slot.back_end().id.clone());
         self.call.note_send();
         self.sends += 1;
         let send = self.sends;
-        if let Some(begun) = &mut self.begun {
-            begun.sent(send);
+        if let Some(counted) = &mut self.counted {
+            counted.sent(send);
         }
         let outgoing = self.call.outgoing.clone();
-        let passage = self.passage.clone();
+        let quarantine_permit = self.quarantine_permit.clone();
         let reuse = self.reuse;
-        // While this one has no answer, the next must not meet the same silence.
+        // While this attempt has no answer, its connection and older ones may be unresponsive.
         self.reuse = reuse.after_try_at(BootInstant::now());
         let deadline = self.call.deadline;
         let running = async move {
             let began = BootInstant::now();
-            let result = attempt(
+            let result = run_attempt(
                 &context,
                 &outgoing,
-                &passage,
-                place.shared_back_end(),
+                &quarantine_permit,
+                slot.shared_back_end(),
                 reuse,
                 deadline,
             )
             .await;
-            Attempted {
+            EndedAttempt {
                 send,
-                place,
+                slot,
                 result,
                 took: began.elapsed(),
             }
@@ -389,40 +388,40 @@
         true
     }
 
-    /// Takes in the end of an attempt; returns the final outcome if this is it.
-    fn take(&mut self, attempted: Attempted) -> Option<LiveOutcome> {
-        let Attempted {
+    /// Handles the end of an attempt. Returns the outcome if the request has its final answer.
+    fn handle_end(&mut self, attempt: EndedAttempt) -> Option<LiveOutcome> {
+        let EndedAttempt {
             send,
-            place,
+            slot,
             result,
             took,
-        } = attempted;
-        let back_end = place.back_end().id.clone();
-        telemetry::attempt_ended(self.call.service.as_str(), result.word(), took);
-        self.log_attempt(&place, &result, took);
+        } = attempt;
+        let back_end = slot.back_end().id.clone();
+        telemetry::attempt_ended(self.call.service.as_str(), result.as_str(), took);
+        self.log_unless_answered(&slot, &result, took);
         if matches!(result, AttemptResult::WrongInstance) {
             self.call
                 .context
                 .connections
-                .forget(place.back_end().address);
+                .forget(slot.back_end().address);
         }
-        place.end(result.outcome());
-        self.last_result = Some(result.word());
-        self.has_met_silence |= result.is_silence();
-        if self.pending.is_empty() && !self.has_met_silence {
-            // Each attempt had its answer, or was closed: no connection is silent.
+        slot.end(result.outcome());
+        self.last_result = Some(result.as_str());
+        self.has_timed_out |= result.is_timeout();
+        if self.pending.is_empty() && !self.has_timed_out {
+            // No attempt timed out and none is pending: no sign of unresponsive connections.
             self.reuse = self.call.reuse();
         }
         if let AttemptResult::Answered(_) = &result {
             let pools = &self.call.context.pools;
             pools.note_answer(&self.call.service, took);
         }
-        self.count(&result, send);
+        self.count_attempt(&result, send);
         match result {
             AttemptResult::Answered(answer) => Some(self.outcome(Ok(answer), Some(back_end))),
             AttemptResult::RanAndFailed(answer) => {
-                let has_failed = answer.status == StatusCode::INTERNAL_SERVER_ERROR;
-                self.failed_answers += usize::from(has_failed);
+                let is_request_failure = answer.status == StatusCode::INTERNAL_SERVER_ERROR;
+                self.failed_answers += usize::from(is_request_failure);
                 self.last_failure = Some((answer, back_end));
                 None
             }
@@ -430,31 +429,31 @@
         }
     }
 
-    /// Counts an attempt that has ended by whether it may have run.
-    fn count(&mut self, result: &AttemptResult, send: usize) {
+    /// Counts an ended attempt by whether it may have run.
+    fn count_attempt(&mut self, result: &AttemptResult, send: usize) {
         if !result.is_proved_not_run() {
-            self.may_have_run += 1;
+            self.possible_runs += 1;
             return;
         }
         self.call.note_not_run();
-        if let Some(begun) = &mut self.begun {
-            begun.not_run(send);
+        if let Some(counted) = &mut self.counted {
+            counted.not_run(send);
         }
     }
 
-    fn log_attempt(&self, place: &Place, result: &AttemptResult, took: Duration) {
+    fn log_unless_answered(&self, slot: &Place, result: &AttemptResult, took: Duration) {
         if matches!(result, AttemptResult::Answered(_)) {
             return;
         }
         self.call
-            .note_failed_attempt(&self.passage, place, result, took);
+            .log_failed_attempt(&self.quarantine_permit, slot, result, took);
     }
 
-    /// The final answer when no attempt gave one: a failure of a back end as it
-    /// is, or a problem that says whether the request may have run.
-    fn give_up(mut self) -> LiveOutcome {
+    /// Returns the outcome of a request without a final answer: the last failure of a back end,
+    /// or a problem document that states whether the request may have run.
+    fn finish_unanswered(mut self) -> LiveOutcome {
         if let Some((answer, back_end)) = self.last_failure.take()
-            && !promises_not_run(&answer)
+            && !implies_not_run(&answer)
         {
             return self.outcome(Ok(answer), Some(back_end));
         }
@@ -463,38 +462,44 @@
     }
 
     fn problem(&self) -> Problem {
-        let possible = self.may_have_run + self.pending.len();
-        if possible == 0
-            && let Some(refusal) = self.passage.refusal()
+        let max_possible_runs = self.possible_runs + self.pending.len();
+        if max_possible_runs == 0
+            && let Some(refusal) = self.quarantine_permit.refusal()
         {
             return refusal;
         }
-        let is_late = BootInstant::now() + TIME_LEAST >= self.call.deadline;
+        let is_late = BootInstant::now() + MIN_ATTEMPT_TIME >= self.call.deadline;
         let service = &self.call.service;
         let detail = match (self.pending.is_empty(), self.last_result) {
-            (false, _) => format!("service {service}: no answer from {}", self.asked()),
-            (true, Some(word)) => {
-                format!("service {service}: {word} at the last of {}", self.asked())
+            (false, _) => format!(
+                "service {service}: no answer in time from {}",
+                self.tried_back_ends()
+            ),
+            (true, Some(result)) => {
+                format!(
+                    "service {service}: last attempt {result}; tried {}",
+                    self.tried_back_ends()
+                )
             }
-            (true, None) => self.call.no_place(&self.seeker),
+            (true, None) => self.call.no_slot_detail(&self.waiter),
         };
-        let code = match (possible > 0, is_late) {
+        let code = match (max_possible_runs > 0, is_late) {
             (true, true) => ResultCode::EngineTimeout,
             (true, false) => ResultCode::EngineLost,
             (false, true) => ResultCode::QueueDeadline,
             (false, false) if self.sends > 0 => ResultCode::EngineRefused,
-            (false, false) => self.call.no_engine(&self.seeker),
+            (false, false) => self.call.no_engine_code(&self.waiter),
         };
         let problem = Problem::new(code, detail);
-        if possible > 0 {
+        if max_possible_runs > 0 {
             return problem;
         }
-        let retry_after = self.call.retry_after(&self.seeker);
+        let retry_after = self.call.retry_after(&self.waiter);
         problem.with_retry_after_ms(retry_after.as_millis() as u64)
     }
 
-    /// The back ends that were asked, for people.
-    fn asked(&self) -> String {
+    /// Lists the back ends tried, for error messages.
+    fn tried_back_ends(&self) -> String {
         let ids: Vec<&str> = self.tried.iter().map(EngineId::as_str).collect();
         ids.join(", ")
     }
@@ -513,8 +518,8 @@
     }
 }
 
-/// Statuses that tell a caller that its request has not run. A back end that ran it
-/// must not be quoted with one of them.
-fn promises_not_run(answer: &WholeAnswer) -> bool {
+/// Returns true if callers take this status as proof that the request did not run. Such an answer
+/// is not forwarded if the request may have run.
+fn implies_not_run(answer: &WholeAnswer) -> bool {
     matches!(answer.status.as_u16(), 408 | 421 | 429 | 503)
 }
--- a/crates/sloetrail-serving/src/gateway/mod.rs
+++ b/crates/sloetrail-serving/src/gateway/mod.rs
@@ -1,9 +1,9 @@
-//! What callers and trainers see: live requests, batches, results.
+//! The API for callers and trainers: live requests, batches and results.
 //!
-//! A request comes in by [`call_handler::CallHandler`], which knows the product's own paths and
-//! otherwise asks the configuration in force for a route. A live request goes
-//! through [`live::LiveCall`]; a batch is accepted by [`submit`] and read by
-//! [`read`]. The types that they share are in [`response`].
+//! [`call_handler::CallHandler`] receives every request. It serves the product's own paths
+//! and routes all others by the configuration in force. Live requests run in
+//! [`live::LiveCall`] or [`stream`]; [`submit`] accepts batches and [`read`] returns their
+//! results. Response helpers are in [`response`].
 
 pub(crate) mod attempt;
 mod batch_call;
--- a/crates/sloetrail-serving/src/gateway/regions.rs
+++ b/crates/sloetrail-serving/src/gateway/regions.rs
@@ -1,4 +1,4 @@
-//! The regions in which a call may be served and kept.
+//! The regions in which a call may be served and a batch stored.
 
 use sloetrail_batch::{RewardCall, Submission};
 use sloetrail_result::{Problem, ResultCode};
@@ -6,53 +6,52 @@
 use sloetrail_types::AllowedRegions;
 use std::time::Duration;
 
-/// When to come back after a refusal that only another configuration can change. A new one
-/// is in force some seconds after it was applied; callers that come back sooner find the
-/// same.
-const NOWHERE_RETRY_AFTER: Duration = Duration::from_millis(1_000);
+/// Retry delay if no region is allowed. Only a new configuration, which takes seconds to come
+/// into force, can change that.
+const NO_REGION_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// The regions that both the route and the tenant allow.
+/// Returns the regions that both the route and the tenant allow.
 ///
 /// # Errors
 ///
-/// If there is none, with the refusal: the call can be served nowhere.
+/// `AllowedNowhere` if they have no region in common.
 pub(super) fn allowed(route: &Route, tenant: Option<&Tenant>) -> Result<AllowedRegions, Problem> {
-    let of_route = &route.allowed_regions;
+    let route_regions = &route.allowed_regions;
     let Some(tenant) = tenant else {
-        return match of_route.is_nowhere() {
-            true => Err(nowhere(format!("route {} allows no region", route.name))),
-            false => Ok(of_route.clone()),
+        return match route_regions.is_nowhere() {
+            true => Err(no_region(format!("route {} allows no region", route.name))),
+            false => Ok(route_regions.clone()),
         };
     };
-    let of_tenant = &tenant.allowed_regions;
-    let regions = of_route.and(of_tenant);
+    let tenant_regions = &tenant.allowed_regions;
+    let regions = route_regions.and(tenant_regions);
     if regions.is_nowhere() {
         let (route, tenant) = (&route.name, &tenant.name);
-        return Err(nowhere(format!(
-            "route {route} allows {of_route}, tenant {tenant} {of_tenant}"
+        return Err(no_region(format!(
+            "no common region: route {route} allows {route_regions}, tenant {tenant} allows {tenant_regions}"
         )));
     }
     Ok(regions)
 }
 
-fn nowhere(detail: String) -> Problem {
-    let retry_after = NOWHERE_RETRY_AFTER.as_millis() as u64;
+fn no_region(detail: String) -> Problem {
+    let retry_after = NO_REGION_RETRY_DELAY.as_millis() as u64;
     Problem::new(ResultCode::AllowedNowhere, detail).with_retry_after_ms(retry_after)
 }
 
-/// The regions in which a batch may be kept: those of its caller that the routes of its
-/// reward calls allow too, since whoever keeps the batch reads the bodies of these. A route
-/// that would leave none is passed over.
+/// Returns the regions in which a batch may be stored: the caller's regions that the routes of
+/// its reward calls allow too, since the batch contains the bodies of these calls. A route
+/// that would leave no region is ignored.
 pub(super) fn for_batch(
     configuration: &ServingConfiguration,
-    of_caller: &AllowedRegions,
+    caller_regions: &AllowedRegions,
     submission: &Submission,
 ) -> AllowedRegions {
     let rewards = submission.items.iter();
     let rewards = rewards.filter_map(|item| item.reward.as_ref());
-    let mut regions = of_caller.clone();
+    let mut regions = caller_regions.clone();
     for reward in rewards {
-        let narrowed = regions.and(&of_reward(configuration, reward));
+        let narrowed = regions.and(&for_reward(configuration, reward));
         if !narrowed.is_nowhere() {
             regions = narrowed;
         }
@@ -60,9 +59,9 @@
     regions
 }
 
-/// The regions of a reward call: those of its route. Other routes than those that take such
-/// calls bind no batch, so that each of their restrictions need not have an owner.
-fn of_reward(configuration: &ServingConfiguration, reward: &RewardCall) -> AllowedRegions {
+/// Returns the regions that a reward call's route allows. Routes that do not take reward calls
+/// do not restrict batches.
+fn for_reward(configuration: &ServingConfiguration, reward: &RewardCall) -> AllowedRegions {
     let path = reward.path.split('?').next().unwrap_or(&reward.path);
     let route = configuration.routes.find(&reward.host, path);
     let route = route.filter(|route| route.takes_reward_calls());
--- a/crates/sloetrail-serving/src/gateway/regions/tests.rs
+++ b/crates/sloetrail-serving/src/gateway/regions/tests.rs
@@ -17,7 +17,7 @@
         "routes": [route("/n/", &["north"]), route("/s/", &["south"]), route("/any/", &[])],
         "tenants": [{"name": "t", "api_keys": [KEY], "allowed_regions": ["north", "east"]}],
     });
-    ServingConfiguration::parse(configuration.to_string().as_bytes()).expect("sound")
+    ServingConfiguration::parse(configuration.to_string().as_bytes()).expect("valid")
 }
 
 fn only(names: &[&str]) -> AllowedRegions {
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_route_and_tenant_have_in_common_is_allowed_and_nothing_is_refused() {
+fn only_common_regions_of_route_and_tenant_are_allowed() {
     let configuration = configuration();
     let route = |path| configuration.routes.find("a.example", path).expect("found");
     let tenants = configuration.tenants.as_ref().expect("given");
@@ -39,39 +39,42 @@
         allowed(route("/any/"), None),
         Ok(AllowedRegions::everywhere())
     );
-    let refusal = allowed(route("/s/"), tenant).expect_err("nothing in common");
+    let refusal = allowed(route("/s/"), tenant).expect_err("no common region");
     assert_eq!((refusal.code, refusal.status), (1112, 503));
     assert!(refusal.retry_after_ms.is_some_and(|time| time > 0));
     assert!(refusal.detail.contains("south") && refusal.detail.contains("east+north"));
 }
 
 #[test]
-fn a_batch_is_kept_where_the_routes_of_its_reward_calls_allow_it_too() {
+fn reward_routes_restrict_the_regions_of_a_batch() {
     let configuration = configuration();
-    let kept = |of_caller: &AllowedRegions, paths: &[&str]| {
+    let stored_in = |caller_regions: &AllowedRegions, paths: &[&str]| {
         let item = |(number, path): (usize, &&str)| {
             json!({"id": format!("i{number}"), "path": "/r/", "reward":
                    {"id": format!("r{number}"), "host": "a.example", "path": path}})
         };
         let items: Vec<Value> = paths.iter().enumerate().map(item).collect();
         let submission = json!({"items": items}).to_string();
-        let submission = Submission::parse(submission.as_bytes()).expect("sound");
-        for_batch(&configuration, of_caller, &submission)
+        let submission = Submission::parse(submission.as_bytes()).expect("valid");
+        for_batch(&configuration, caller_regions, &submission)
     };
     let everywhere = AllowedRegions::everywhere();
-    assert_eq!(kept(&everywhere, &["/any/1", "/unknown/"]), everywhere);
-    assert_eq!(kept(&everywhere, &["/any/1", "/n/1?x=y"]), only(&["north"]));
+    assert_eq!(stored_in(&everywhere, &["/any/1", "/unknown/"]), everywhere);
+    assert_eq!(
+        stored_in(&everywhere, &["/any/1", "/n/1?x=y"]),
+        only(&["north"])
+    );
     let two = only(&["north", "south"]);
-    assert_eq!(kept(&two, &["/s/1"]), only(&["south"]));
+    assert_eq!(stored_in(&two, &["/s/1"]), only(&["south"]));
     assert_eq!(
-        kept(&two, &["/s/1", "/n/1"]),
+        stored_in(&two, &["/s/1", "/n/1"]),
         only(&["south"]),
-        "one that would leave none is passed over"
+        "a route that would leave no region is ignored"
     );
 }
 
 #[test]
-fn routes_and_tenants_without_a_common_region_are_found_before_a_request() {
+fn configuration_lists_routes_and_tenants_without_common_region() {
     let configuration = configuration();
     let pairs = configuration.exclusions();
     let pairs: Vec<(&str, &str)> = pairs
--- a/crates/sloetrail-serving/src/gateway/response.rs
+++ b/crates/sloetrail-serving/src/gateway/response.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Responses to callers.
 
 use crate::dialect::HeaderNames;
 use bytes::Bytes;
@@ -13,25 +13,21 @@
 use sloetrail_types::Revision;
 use std::io;
 
-/// The body of an answer to a caller.
 pub(crate) type CallerBody = UnsyncBoxBody<Bytes, io::Error>;
 
-/// An answer to a caller.
 pub(crate) type CallerResponse = Response<CallerBody>;
 
-/// A body that is held whole.
 pub(crate) fn whole_body(bytes: impl Into<Bytes>) -> CallerBody {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// A body that comes piece by piece; an error breaks the connection off.
-pub(crate) fn stream_body(pieces: BoxStream<'static, io::Result<Bytes>>) -> CallerBody {
-    StreamBody::new(pieces.map_ok(Frame::data).boxed()).boxed_unsync()
+/// Returns a streaming body. An error in the stream closes the connection.
+pub(crate) fn stream_body(chunks: BoxStream<'static, io::Result<Bytes>>) -> CallerBody {
+    StreamBody::new(chunks.map_ok(Frame::data).boxed()).boxed_unsync()
 }
 
-/// An answer with a JSON body.
 pub(crate) fn json_response(status: StatusCode, body: Vec<u8>) -> CallerResponse {
     let mut response = Response::new(whole_body(body));
     *response.status_mut() = status;
@@ -40,14 +36,13 @@
     response
 }
 
-/// An answer without a body.
 pub(crate) fn empty_response(status: StatusCode) -> CallerResponse {
     let mut response = Response::new(whole_body(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
-/// A problem document as an answer.
+/// Returns a problem document as a response, with `Retry-After` in seconds if it has a delay.
 pub(crate) fn problem_response(problem: &Problem) -> CallerResponse {
     let status = StatusCode::from_u16(problem.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let body = serde_json::to_vec(problem).unwrap_or_default();
@@ -64,7 +59,7 @@
     response
 }
 
-/// Adds the version of the configuration that a call was answered under, where it is told.
+/// Adds the configuration's version, if the dialect has a header for it.
 pub(crate) fn with_configuration_version(
     mut response: CallerResponse,
     names: &HeaderNames,
@@ -77,7 +72,6 @@
     response
 }
 
-/// Adds the request's id to an answer.
 pub(crate) fn with_request_id(
     mut response: CallerResponse,
     names: &HeaderNames,
--- a/crates/sloetrail-serving/src/gateway/result_wait.rs
+++ b/crates/sloetrail-serving/src/gateway/result_wait.rs
@@ -1,33 +1,31 @@
-//! How long a reader of results that gives a waiting time is kept waiting.
+//! How long a long poll for results lasts.
 //!
-//! A trainer goes on once the groups that it waits for are whole, and reads about twice a
-//! second. A reader that was answered with results that complete nothing leaves, and the
-//! results that complete its step lie unread until it comes again. So it is kept while
-//! nothing that it can use is there, within the time that it gave.
+//! A trainer continues once the groups that it requires are complete. Answering it earlier
+//! would delay the completing results until its next read, so the poll lasts until a required
+//! group is complete or the reader's waiting time is over.
 
 use sloetrail_batch::{BatchHeader, ListedResult};
 use sloetrail_clock::BootInstant;
 use std::time::Duration;
 
-/// The most that a reader is kept, whatever it asks for: a second, as trainers ask.
 const MAX_WAIT: Duration = Duration::from_millis(1_000);
-/// How often trainers read, by the operators' pages: about twice a second.
+/// Usual time between two reads of a trainer.
 const READ_INTERVAL: Duration = Duration::from_millis(500);
-/// Bytes of text that one answer may hold.
+/// Maximum bytes of text in one answer.
 pub(super) const MAX_PAGE_BYTES: usize = 900_000;
 
-/// The time of one reader.
+/// The waiting time of one reader.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ResultWait {
     began: BootInstant,
     wait: Duration,
-    /// How long it may be kept for more than it has.
-    gathering: Duration,
+    /// Maximum wait for more results while there are some.
+    gather_wait: Duration,
 }
 
 impl ResultWait {
-    /// A reader that came at `began` and waits for `wait`. `now_ms` is the table's clock then;
-    /// without it the batch counts as due.
+    /// The wait of a reader that arrived at `began` and waits up to `wait`. `now_ms` is the
+    /// table's clock at that time; the batch counts as due if it is `None`.
     pub(super) fn new(
         began: BootInstant,
         wait: Duration,
@@ -40,22 +38,21 @@
         Self {
             began,
             wait: wait.min(MAX_WAIT),
-            // Each group counts once the batch is due; the reader is kept no longer then than
-            // it would have stayed away.
-            gathering: due_in.max(READ_INTERVAL),
+            // Once the batch is due every result counts: wait no longer than until the next read.
+            gather_wait: due_in.max(READ_INTERVAL),
         }
     }
 
-    /// A reader that can use any result.
+    /// The wait of a reader that needs any result, required or not.
     pub(super) fn for_any_result(began: BootInstant, wait: Duration) -> Self {
         Self {
             began,
             wait: wait.min(MAX_WAIT),
-            gathering: Duration::ZERO,
+            gather_wait: Duration::ZERO,
         }
     }
 
-    /// Until when the reader is kept, with what is known for it.
+    /// Returns when to answer the reader, given the results known so far.
     pub(super) fn wait_deadline(&self, known: &[ListedResult]) -> BootInstant {
         if known.is_empty() {
             return self.began + self.wait;
@@ -63,12 +60,11 @@
         if is_enough(known) {
             return self.began;
         }
-        self.began + self.wait.min(self.gathering)
+        self.began + self.wait.min(self.gather_wait)
     }
 }
 
-/// True if a reader need not wait for more: the groups that its trainer waits for are whole,
-/// or one answer holds no more.
+/// Returns true if the required groups are complete, or if the answer is full.
 fn is_enough(known: &[ListedResult]) -> bool {
     let bytes: usize = known.iter().map(|result| result.text.len()).sum();
     bytes >= MAX_PAGE_BYTES || known.iter().any(|result| result.groups_are_whole)
--- a/crates/sloetrail-serving/src/gateway/result_wait/tests.rs
+++ b/crates/sloetrail-serving/src/gateway/result_wait/tests.rs
@@ -35,66 +35,66 @@
     }
 }
 
-/// How long a reader is kept that waits for `wait` and for whom this is known.
-fn kept_for(wait: Duration, now_ms: Option<u64>, known: &[ListedResult]) -> Duration {
+/// Returns how long a reader with this waiting time and these results waits.
+fn waited(wait: Duration, now_ms: Option<u64>, known: &[ListedResult]) -> Duration {
     let began = BootInstant::now();
-    let time = ResultWait::new(began, wait, &header(), now_ms);
-    time.wait_deadline(known) - began
+    let result_wait = ResultWait::new(began, wait, &header(), now_ms);
+    result_wait.wait_deadline(known) - began
 }
 
 #[test]
-fn a_reader_without_a_waiting_time_is_answered_at_once() {
+fn readers_without_waiting_time_get_immediate_answers() {
     let now = Some(ACCEPTED_AT_MS);
-    assert_eq!(kept_for(Duration::ZERO, now, &[]), Duration::ZERO);
+    assert_eq!(waited(Duration::ZERO, now, &[]), Duration::ZERO);
     let known = [result(false)];
-    assert_eq!(kept_for(Duration::ZERO, now, &known), Duration::ZERO);
+    assert_eq!(waited(Duration::ZERO, now, &known), Duration::ZERO);
 }
 
 #[test]
-fn a_reader_is_kept_while_nothing_that_it_can_use_is_there() {
+fn readers_wait_while_no_required_group_is_complete() {
     let now = Some(ACCEPTED_AT_MS);
-    assert_eq!(kept_for(MAX_WAIT, now, &[]), MAX_WAIT);
-    assert_eq!(kept_for(MAX_WAIT, now, &[result(false)]), MAX_WAIT);
+    assert_eq!(waited(MAX_WAIT, now, &[]), MAX_WAIT);
+    assert_eq!(waited(MAX_WAIT, now, &[result(false)]), MAX_WAIT);
     let short = Duration::from_millis(300);
-    assert_eq!(kept_for(short, now, &[result(false)]), short);
+    assert_eq!(waited(short, now, &[result(false)]), short);
 }
 
 #[test]
-fn a_reader_is_answered_at_once_when_the_groups_that_are_waited_for_are_whole() {
+fn completed_required_groups_end_the_wait() {
     let known = [result(false), result(true), result(false)];
-    let kept = kept_for(MAX_WAIT, Some(ACCEPTED_AT_MS), &known);
-    assert_eq!(kept, Duration::ZERO);
+    let waited = waited(MAX_WAIT, Some(ACCEPTED_AT_MS), &known);
+    assert_eq!(waited, Duration::ZERO);
 }
 
 #[test]
-fn a_reader_is_answered_at_once_when_an_answer_holds_no_more() {
+fn a_full_page_ends_the_wait() {
     let mut long = result(false);
     long.text = "t".repeat(MAX_PAGE_BYTES);
-    let kept = kept_for(MAX_WAIT, Some(ACCEPTED_AT_MS), &[long]);
-    assert_eq!(kept, Duration::ZERO);
+    let waited = waited(MAX_WAIT, Some(ACCEPTED_AT_MS), &[long]);
+    assert_eq!(waited, Duration::ZERO);
 }
 
 #[test]
-fn results_of_a_batch_that_is_due_wait_no_longer_than_between_two_reads() {
+fn results_of_due_batches_wait_at_most_one_read_interval() {
     let known = [result(false)];
     let nearly_due = Some(DUE_AT_MS - 700);
     let until_due = Duration::from_millis(700);
-    assert_eq!(kept_for(MAX_WAIT, nearly_due, &known), until_due);
+    assert_eq!(waited(MAX_WAIT, nearly_due, &known), until_due);
     for now in [Some(DUE_AT_MS - 100), Some(DUE_AT_MS + 100), None] {
-        assert_eq!(kept_for(MAX_WAIT, now, &known), READ_INTERVAL);
+        assert_eq!(waited(MAX_WAIT, now, &known), READ_INTERVAL);
     }
 }
 
 #[test]
-fn nobody_is_kept_for_longer_than_the_limit() {
-    let kept = kept_for(Duration::from_secs(60), Some(ACCEPTED_AT_MS), &[]);
-    assert_eq!(kept, MAX_WAIT);
+fn waits_are_capped_at_the_maximum() {
+    let waited = waited(Duration::from_secs(60), Some(ACCEPTED_AT_MS), &[]);
+    assert_eq!(waited, MAX_WAIT);
 }
 
 #[test]
-fn a_reader_that_can_use_any_result_is_kept_only_while_there_is_none() {
+fn any_result_ends_the_wait_if_all_count() {
     let began = BootInstant::now();
-    let time = ResultWait::for_any_result(began, MAX_WAIT);
-    assert_eq!(time.wait_deadline(&[]) - began, MAX_WAIT);
-    assert_eq!(time.wait_deadline(&[result(false)]), began);
+    let result_wait = ResultWait::for_any_result(began, MAX_WAIT);
+    assert_eq!(result_wait.wait_deadline(&[]) - began, MAX_WAIT);
+    assert_eq!(result_wait.wait_deadline(&[result(false)]), began);
 }
--- a/crates/sloetrail-serving/src/gateway/slot_wait/tests.rs
+++ b/crates/sloetrail-serving/src/gateway/slot_wait/tests.rs
@@ -6,128 +6,137 @@
     Duration::from_millis(count)
 }
 
-/// All places are taken, by this many requests of this node.
-fn full(answer_time: u64, running: usize) -> Option<SlotWaitEstimate> {
+/// All slots are taken, `running` of them by requests of this node.
+fn full(answer_time_ms: u64, running: usize) -> Option<SlotWaitEstimate> {
     Some(SlotWaitEstimate {
         backoff_remaining: None,
-        answer_time: Some(milliseconds(answer_time)),
+        answer_time: Some(milliseconds(answer_time_ms)),
         running,
         held_back_by: 0,
     })
 }
 
-fn paused(time: u64, answer_time: u64) -> Option<SlotWaitEstimate> {
+/// All back ends are in backoff.
+fn in_backoff(backoff_ms: u64, answer_time_ms: u64) -> Option<SlotWaitEstimate> {
     Some(SlotWaitEstimate {
-        backoff_remaining: Some(milliseconds(time)),
-        answer_time: Some(milliseconds(answer_time)),
+        backoff_remaining: Some(milliseconds(backoff_ms)),
+        answer_time: Some(milliseconds(answer_time_ms)),
         running: 0,
         held_back_by: 0,
     })
 }
 
-fn bounds(latency_target: u64, left: u64) -> WaitBounds {
+fn bounds(latency_target_ms: u64, time_left_ms: u64) -> WaitBounds {
     WaitBounds {
-        latency_target: milliseconds(latency_target),
-        left: milliseconds(left),
+        latency_target: milliseconds(latency_target_ms),
+        time_left: milliseconds(time_left_ms),
     }
 }
 
-/// How long a request with much time waits while nothing changes.
-fn waited(outlook: Option<SlotWaitEstimate>, latency_target: u64) -> Duration {
-    waited_of(outlook, bounds(latency_target, 10_000))
+/// Returns how long a request with a distant deadline waits while the estimate stays the same.
+fn waited(estimate: Option<SlotWaitEstimate>, latency_target_ms: u64) -> Duration {
+    waited_within(estimate, bounds(latency_target_ms, 10_000))
 }
 
-/// How long a request waits while nothing changes.
-fn waited_of(outlook: Option<SlotWaitEstimate>, bounds: WaitBounds) -> Duration {
+/// Returns how long a request waits while the estimate stays the same.
+fn waited_within(estimate: Option<SlotWaitEstimate>, bounds: WaitBounds) -> Duration {
     let began = BootInstant::now();
     let mut now = began;
     let mut wait = SlotWait::default();
-    while let Some(next) = wait.next_look(now, outlook, bounds) {
+    while let Some(next) = wait.next_check(now, estimate, bounds) {
         assert!(next > now);
         now = next;
     }
     now - began
 }
 
-/// Back ends that are full, and requests that go before this one.
-fn held_back(answer_time: u64, running: usize, held_back_by: usize) -> Option<SlotWaitEstimate> {
-    let outlook = full(answer_time, running)?;
+/// All slots are taken, and the tenant is above its share with this many requests ahead.
+fn above_share(
+    answer_time_ms: u64,
+    running: usize,
+    held_back_by: usize,
+) -> Option<SlotWaitEstimate> {
+    let estimate = full(answer_time_ms, running)?;
     Some(SlotWaitEstimate {
         held_back_by,
-        ..outlook
+        ..estimate
     })
 }
 
 #[test]
-fn a_request_that_is_held_back_waits_only_if_its_turn_comes_in_time() {
+fn tenants_above_their_share_wait_only_if_reached_in_time() {
     let usual = waited(full(60, 8), 200);
-    let in_time = waited(held_back(60, 8, 3), 200);
-    assert_eq!(in_time, milliseconds(60), "a place comes free each 7.5 ms");
-    assert!(in_time < usual, "not longer than others: {usual:?}");
-    assert_eq!(waited(held_back(60, 8, 20), 200), Duration::ZERO);
+    let in_time = waited(above_share(60, 8, 3), 200);
+    assert_eq!(in_time, milliseconds(60), "a slot is freed every 7.5 ms");
+    assert!(in_time < usual, "longer than the wait of others: {usual:?}");
+    assert_eq!(waited(above_share(60, 8, 20), 200), Duration::ZERO);
     let left = milliseconds(3_000);
-    let later = retry_after(held_back(60, 8, 20), left, 0.5);
+    let later = retry_after(above_share(60, 8, 20), left, 0.5);
     assert!(later > retry_after(full(60, 8), left, 0.5));
 }
 
 #[test]
-fn a_place_that_comes_free_in_the_ordinary_course_is_waited_for() {
+fn requests_wait_for_slots_that_free_up_normally() {
     let waited = waited(full(60, 8), 200);
     assert!(waited > milliseconds(40), "{waited:?}");
     assert!(
         waited <= milliseconds(75),
-        "an answer and a look: {waited:?}"
+        "longer than an answer time and a check interval: {waited:?}"
     );
 }
 
 #[test]
-fn nothing_is_waited_for_that_could_not_be_answered_within_the_target() {
+fn requests_do_not_wait_beyond_the_latency_target() {
     assert_eq!(waited(full(300, 8), 200), Duration::ZERO);
     assert!(waited(full(150, 8), 200) <= milliseconds(50));
 }
 
 #[test]
-fn a_pause_is_waited_for_if_it_ends_within_an_ordinary_answer() {
-    assert!(waited(paused(20, 25), 150) >= milliseconds(15));
-    assert_eq!(waited(paused(480, 25), 150), Duration::ZERO);
-    assert_eq!(waited(paused(60, 25), 150), Duration::ZERO);
+fn requests_wait_for_backoff_shorter_than_an_answer() {
+    assert!(waited(in_backoff(20, 25), 150) >= milliseconds(15));
+    assert_eq!(waited(in_backoff(480, 25), 150), Duration::ZERO);
+    assert_eq!(waited(in_backoff(60, 25), 150), Duration::ZERO);
 }
 
 #[test]
-fn without_a_back_end_nothing_is_waited_for() {
+fn requests_do_not_wait_without_back_ends() {
     assert_eq!(waited(None, 10_000), Duration::ZERO);
 }
 
 #[test]
-fn the_wait_is_one_over_all_attempts() {
+fn all_attempts_share_one_wait() {
     let began = BootInstant::now();
     let target = bounds(400, 10_000);
     let mut wait = SlotWait::default();
-    assert!(wait.next_look(began, full(100, 8), target).is_some());
+    assert!(wait.next_check(began, full(100, 8), target).is_some());
     let later = began + milliseconds(200);
-    assert_eq!(wait.next_look(later, full(100, 8), target), None);
+    assert_eq!(wait.next_check(later, full(100, 8), target), None);
 }
 
 #[test]
-fn a_refused_caller_comes_back_when_a_place_is_likely_and_not_together_with_others() {
+fn retry_delays_cover_the_expected_wait_with_jitter() {
     let left = milliseconds(2_000);
     let early = retry_after(full(60, 8), left, 0.0);
     let late = retry_after(full(60, 8), left, 1.0);
     assert_eq!((early, late), (milliseconds(60), milliseconds(120)));
-    let pause = retry_after(paused(480, 60), left, 0.0);
-    assert_eq!(pause, milliseconds(480), "not before the pause is over");
+    let after_backoff = retry_after(in_backoff(480, 60), left, 0.0);
+    assert_eq!(
+        after_backoff,
+        milliseconds(480),
+        "retry before the backoff ends"
+    );
 }
 
 #[test]
-fn a_return_lies_within_what_callers_heed_of_their_time() {
+fn retry_delays_stay_within_a_third_of_the_time_left() {
     let left = milliseconds(900);
-    for outlook in [paused(2_000, 60), paused(250, 60), None] {
-        assert_eq!(retry_after(outlook, left, 1.0), left / 3);
-        let early = retry_after(outlook, left, 0.0);
-        assert!(early < left / 3, "spread out all the same");
+    for estimate in [in_backoff(2_000, 60), in_backoff(250, 60), None] {
+        assert_eq!(retry_after(estimate, left, 1.0), left / 3);
+        let early = retry_after(estimate, left, 0.0);
+        assert!(early < left / 3, "retry delays without jitter");
         assert!(
             early >= milliseconds(240),
-            "as near to the pause's end as is heeded"
+            "retry too long before the backoff ends"
         );
     }
     let none_left = retry_after(None, Duration::ZERO, 0.5);
@@ -135,28 +144,28 @@
 }
 
 #[test]
-fn a_request_is_refused_while_its_caller_can_come_back() {
-    const ANSWER: u64 = 60;
+fn refused_callers_have_time_to_retry() {
+    const ANSWER_TIME_MS: u64 = 60;
     for left in [130, 180, 200, 230, 250, 400] {
-        let waited = waited_of(full(ANSWER, 8), bounds(400, left));
+        let waited = waited_within(full(ANSWER_TIME_MS, 8), bounds(400, left));
         let left_then = milliseconds(left) - waited;
-        let heeded = left_then / 3;
-        let told = retry_after(full(ANSWER, 8), left_then, 1.0);
-        assert!(told <= heeded, "{told:?} of {left_then:?}");
-        let is_short = milliseconds(left) < milliseconds(3 * ANSWER);
+        let longest = left_then / 3;
+        let delay = retry_after(full(ANSWER_TIME_MS, 8), left_then, 1.0);
+        assert!(delay <= longest, "{delay:?} of {left_then:?}");
+        let is_short = milliseconds(left) < milliseconds(3 * ANSWER_TIME_MS);
         assert!(
-            is_short || heeded >= milliseconds(ANSWER),
-            "an answer time to come back: {left_then:?}"
+            is_short || longest >= milliseconds(ANSWER_TIME_MS),
+            "less than an answer time to retry: {left_then:?}"
         );
         assert!(
             !is_short || waited.is_zero(),
-            "nothing is gained: {waited:?}"
+            "waited without enough time left: {waited:?}"
         );
     }
 }
 
 #[test]
-fn a_series_that_is_under_way_waits_to_its_end_and_no_longer() {
+fn started_streams_wait_until_their_deadline() {
     let began = BootInstant::now();
     let deadline = began + milliseconds(500);
     let mut now = began;
--- a/crates/sloetrail-serving/src/gateway/stream.rs
+++ b/crates/sloetrail-serving/src/gateway/stream.rs
@@ -1,9 +1,9 @@
-//! A live request whose answer is a series of events, passed on as they come.
+//! Live requests whose answer is an event stream, forwarded as it arrives.
 //!
-//! Only whole events are passed on. If the answer breaks off and the route allows
-//! it, another back end takes the series up after the last event that was passed
-//! on; the answer keeps the head and the signature of its first back end. Otherwise
-//! the caller's connection is broken off, so that the answer does not look whole.
+//! Only complete events are forwarded. If the stream breaks and the route is resumable, another
+//! back end continues after the last forwarded event; the response keeps the head and the
+//! signature of the first back end. Otherwise the caller's connection is closed, so that the
+//! caller cannot take the truncated response for a complete one.
 
 use super::attempt::{
     AttemptResult, OutgoingRequest, build_request, classify_answer, classify_failure,
@@ -34,30 +34,29 @@
 use std::time::Duration;
 use tokio::time::error::Elapsed;
 
-/// How long a back end may be silent within a series before it counts as lost.
-const SILENCE_LIMIT: Duration = Duration::from_millis(1_500);
+/// Maximum time between two chunks of a stream.
+const EVENT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What a streaming request is answered with.
+/// The answer to a streaming request.
 pub(crate) enum StreamOutcome {
-    /// A series of events.
+    /// An event stream.
     Events {
         /// The status of the first back end.
         status: StatusCode,
-        /// Its headers.
+        /// The headers of the first back end.
         headers: HeaderMap,
-        /// The back end.
         back_end: EngineId,
-        /// The events as bytes.
-        pieces: BoxStream<'static, io::Result<Bytes>>,
+        /// Complete events, in their wire format.
+        events: BoxStream<'static, io::Result<Bytes>>,
     },
-    /// A whole answer that is no success.
+    /// A complete answer that is not a success.
     Whole(WholeAnswer),
-    /// The node's own refusal or failure.
+    /// The node's own error.
     Problem(Problem),
 }
 
 impl StreamOutcome {
-    /// The final answer, unless it is a series whose end is not known yet.
+    /// Returns the final answer, or `None` for an event stream.
     pub(crate) fn whole(&self) -> Option<Result<&WholeAnswer, &Problem>> {
         match self {
             StreamOutcome::Events { .. } => None,
@@ -67,19 +66,19 @@
     }
 }
 
-struct Open {
-    place: Place,
+struct OpenStream {
+    slot: Place,
     status: StatusCode,
     headers: HeaderMap,
     body: AnswerBody,
     watch: RunWatch,
 }
 
-impl Open {
-    fn new(place: Place, exchange: Exchange, watch: RunWatch) -> Self {
+impl OpenStream {
+    fn new(slot: Place, exchange: Exchange, watch: RunWatch) -> Self {
         Self {
             watch,
-            place,
+            slot,
             status: exchange.status,
             headers: exchange.headers.clone(),
             body: exchange.into_body(),
@@ -87,70 +86,70 @@
     }
 }
 
-enum Opening {
-    Events(Box<Open>),
+enum OpenResult {
+    Events(Box<OpenStream>),
     Refused(WholeAnswer),
     Failed(Problem),
 }
 
-/// Opens the series at a back end.
+/// Opens the event stream at a back end.
 pub(crate) async fn open(call: LiveCall) -> StreamOutcome {
-    let mut source = Source::new(call);
+    let mut source = EventSource::new(call);
     match source.connect().await {
-        Opening::Refused(answer) => StreamOutcome::Whole(answer),
-        Opening::Failed(problem) => StreamOutcome::Problem(problem),
-        Opening::Events(open) => StreamOutcome::Events {
+        OpenResult::Refused(answer) => StreamOutcome::Whole(answer),
+        OpenResult::Failed(problem) => StreamOutcome::Problem(problem),
+        OpenResult::Events(open) => StreamOutcome::Events {
             status: open.status,
             headers: open.headers,
-            back_end: open.place.back_end().id.clone(),
-            pieces: source.pieces(open.place, open.body, open.watch),
+            back_end: open.slot.back_end().id.clone(),
+            events: source.into_events(open.slot, open.body, open.watch),
         },
     }
 }
 
-struct Source {
+struct EventSource {
     call: LiveCall,
-    seeker: SlotWaiter,
+    waiter: SlotWaiter,
     tried: BTreeSet<EngineId>,
-    /// The connections that the next attempt may use.
+    /// The connections that the next attempt may reuse.
     reuse: Reuse,
-    may_have_run: usize,
+    /// Attempts that may have run.
+    possible_runs: usize,
     sends: usize,
     last_event: Option<u64>,
-    /// True once events were passed on to the caller.
-    has_passed_on: bool,
-    /// A series began with its first event.
-    begun: Option<BegunRequest>,
-    passage: Passage,
+    has_forwarded_events: bool,
+    /// The request's entry in the tenant's usage, which starts with the first event.
+    counted: Option<BegunRequest>,
+    quarantine_permit: Passage,
 }
 
-struct Running {
-    source: Source,
-    place: Option<Place>,
+struct ForwardedStream {
+    source: EventSource,
+    slot: Option<Place>,
     watch: Option<RunWatch>,
     body: AnswerBody,
     parser: EventParser,
     is_over: bool,
 }
 
-impl Source {
+impl EventSource {
     fn new(call: LiveCall) -> Self {
         let names = call.context.dialect.headers();
         let last_event = headers::number(&call.outgoing.headers, &names.last_event_id);
         Self {
-            begun: call.begun_request(),
-            passage: call.passage(),
-            seeker: call.place_seeker(),
+            counted: call.counted_request(),
+            quarantine_permit: call.quarantine_permit(),
+            waiter: call.new_slot_waiter(),
             reuse: match call.route.resumable {
-                true => Reuse::Within(SILENCE_LIMIT),
+                true => Reuse::Within(EVENT_TIMEOUT),
                 false => Reuse::Never,
             },
             call,
             tried: BTreeSet::new(),
-            may_have_run: 0,
+            possible_runs: 0,
             sends: 0,
             last_event,
-            has_passed_on: false,
+            has_forwarded_events: false,
         }
     }
 
@@ -158,50 +157,53 @@
         Arc::clone(&self.call.context)
     }
 
-    /// True if another back end may be asked.
+    /// Returns true if another attempt is allowed.
     fn may_try(&self) -> bool {
         let route = &self.call.route;
-        let is_safe = self.may_have_run == 0 || route.resumable;
+        let is_safe = self.possible_runs == 0 || route.resumable;
         let has_time = BootInstant::now() < self.call.deadline;
-        let most = match self.passage.is_on_trial() {
+        let max_attempts = match self.quarantine_permit.is_on_trial() {
             true => 1,
             false => route.max_attempts,
         };
-        let has_attempts = self.may_have_run < most && self.sends < MAX_SENDS;
-        is_safe && has_time && has_attempts && self.passage.is_open()
+        let has_attempts = self.possible_runs < max_attempts && self.sends < MAX_SENDS;
+        is_safe && has_time && has_attempts && self.quarantine_permit.is_open()
     }
 
-    async fn connect(&mut self) -> Opening {
-        let mut last = None;
+    async fn connect(&mut self) -> OpenResult {
+        let mut last_result = None;
         let mut wait = SlotWait::default();
-        self.passage.ask_for_trial(self.call.deadline).await;
+        self.quarantine_permit
+            .ask_for_trial(self.call.deadline)
+            .await;
         while self.may_try() {
-            let Some(place) = self.acquire_or_wait(&mut wait).await else {
+            let Some(slot) = self.acquire_or_wait(&mut wait).await else {
                 break;
             };
-            self.tried.insert(place.back_end().id.clone());
+            self.tried.insert(slot.back_end().id.clone());
             self.call.note_send();
             self.sends += 1;
             let began = BootInstant::now();
-            match self.try_back_end(place).await {
-                Ok(opening) => return opening,
+            match self.try_back_end(slot).await {
+                Ok(opened) => return opened,
                 Err(result) => {
-                    if result.is_silence() {
-                        // The next one must not meet the same silence.
+                    if result.is_timeout() {
+                        // Older connections may be unresponsive too.
                         self.reuse = self.reuse.after_try_at(began);
                     }
                     match result.is_proved_not_run() {
                         true => self.call.note_not_run(),
-                        false => self.may_have_run += 1,
+                        false => self.possible_runs += 1,
                     }
-                    last = Some(result.word());
+                    last_result = Some(result.as_str());
                 }
             }
         }
-        Opening::Failed(self.problem(last))
+        OpenResult::Failed(self.problem(last_result))
     }
 
-    /// A back end that was not tried yet, or else one that was, if a place comes free soon.
+    /// Acquires a slot, at a back end not tried yet if possible, waiting if one is likely to be
+    /// free soon.
     async fn acquire_or_wait(&mut self, wait: &mut SlotWait) -> Option<Place> {
         let context = self.context();
         loop {
@@ -209,61 +211,64 @@
             if !self.may_try() {
                 break;
             }
-            if let Some(place) = self.seeker.acquire(&self.tried) {
-                return Some(place);
+            if let Some(slot) = self.waiter.acquire(&self.tried) {
+                return Some(slot);
             }
             self.tried.clear();
-            if let Some(place) = self.seeker.acquire(&self.tried) {
-                return Some(place);
+            if let Some(slot) = self.waiter.acquire(&self.tried) {
+                return Some(slot);
             }
-            let may_come = match self.has_passed_on {
-                true => self.wait_midway().await,
-                false => self.call.wait_for_place(&mut self.seeker, wait).await,
+            let has_waited = match self.has_forwarded_events {
+                true => self.wait_mid_stream().await,
+                false => self.call.wait_for_slot(&mut self.waiter, wait).await,
             };
-            if !may_come {
+            if !has_waited {
                 break;
             }
         }
-        self.seeker.leave();
+        self.waiter.leave();
         None
     }
 
-    async fn wait_midway(&mut self) -> bool {
+    async fn wait_mid_stream(&mut self) -> bool {
         let deadline = self.call.deadline;
-        let Some(next_look) = slot_wait::next_check_mid_stream(BootInstant::now(), deadline) else {
+        let Some(next_check) = slot_wait::next_check_mid_stream(BootInstant::now(), deadline)
+        else {
             return false;
         };
-        self.seeker.wait_until(next_look).await;
+        self.waiter.wait_until(next_check).await;
         true
     }
 
-    async fn try_back_end(&mut self, place: Place) -> Result<Opening, AttemptResult> {
+    async fn try_back_end(&mut self, slot: Place) -> Result<OpenResult, AttemptResult> {
         let began = BootInstant::now();
-        let watch = self.passage.watch_run(place.shared_back_end());
-        let result = match self.exchange(&place).await {
+        let watch = self.quarantine_permit.watch_run(slot.shared_back_end());
+        let result = match self.exchange(&slot).await {
             Ok(exchange) if exchange.status.is_success() => {
-                self.may_have_run += 1;
-                return Ok(Opening::Events(Box::new(Open::new(place, exchange, watch))));
+                self.possible_runs += 1;
+                return Ok(OpenResult::Events(Box::new(OpenStream::new(
+                    slot, exchange, watch,
+                ))));
             }
-            Ok(exchange) => self.judge_whole(exchange).await,
+            Ok(exchange) => self.classify_whole(exchange).await,
             Err(result) => result,
         };
         watch.end(&result);
         let failure = match result {
             AttemptResult::Answered(answer) => {
-                place.end(AttemptOutcome::Answered);
-                return Ok(Opening::Refused(answer));
+                slot.end(AttemptOutcome::Answered);
+                return Ok(OpenResult::Refused(answer));
             }
             failure => failure,
         };
         self.call
-            .note_failed_attempt(&self.passage, &place, &failure, began.elapsed());
-        place.end(failure.outcome());
+            .log_failed_attempt(&self.quarantine_permit, &slot, &failure, began.elapsed());
+        slot.end(failure.outcome());
         Err(failure)
     }
 
-    /// Reads an answer that is no series, and tells what it says.
-    async fn judge_whole(&self, exchange: Exchange) -> AttemptResult {
+    /// Reads and classifies an answer that is not an event stream.
+    async fn classify_whole(&self, exchange: Exchange) -> AttemptResult {
         let context = &self.call.context;
         let limit = context.answer_limit();
         match exchange.whole(limit, self.call.deadline).await {
@@ -272,7 +277,7 @@
         }
     }
 
-    async fn exchange(&self, place: &Place) -> Result<Exchange, AttemptResult> {
+    async fn exchange(&self, slot: &Place) -> Result<Exchange, AttemptResult> {
         let context = &self.call.context;
         let names = context.dialect.headers();
         let mut outgoing: OutgoingRequest = self.call.outgoing.clone();
@@ -280,11 +285,17 @@
             headers::set_number(&mut outgoing.headers, &names.last_event_id, last_event);
         }
         let deadline = self.call.deadline;
-        let request = build_request(&outgoing, place.back_end(), names, deadline)
+        let request = build_request(&outgoing, slot.back_end(), names, deadline)
             .ok_or(AttemptResult::NotSent)?;
         let connections = &context.connections;
-        let passage = Some(&self.passage);
-        let sending = connections.send(place.back_end(), request, passage, self.reuse, deadline);
+        let quarantine_permit = Some(&self.quarantine_permit);
+        let sending = connections.send(
+            slot.back_end(),
+            request,
+            quarantine_permit,
+            self.reuse,
+            deadline,
+        );
         let exchange = sending.await.map_err(classify_failure)?;
         match classify_head(exchange.status, &exchange.headers, names, &outgoing) {
             Some(result) => Err(finish_exchange(exchange, result)),
@@ -292,55 +303,55 @@
         }
     }
 
-    fn problem(&self, last: Option<&'static str>) -> Problem {
+    fn problem(&self, last_result: Option<&'static str>) -> Problem {
         let service = &self.call.service;
-        let detail = match last {
-            Some(word) => format!("service {service}: the last attempt was {word}"),
-            None => self.call.no_place(&self.seeker),
+        let detail = match last_result {
+            Some(result) => format!("service {service}: last attempt {result}"),
+            None => self.call.no_slot_detail(&self.waiter),
         };
-        if self.may_have_run > 0 {
+        if self.possible_runs > 0 {
             return Problem::new(ResultCode::EngineLost, detail);
         }
-        if let Some(refusal) = self.passage.refusal() {
+        if let Some(refusal) = self.quarantine_permit.refusal() {
             return refusal;
         }
-        let retry_after = self.call.retry_after(&self.seeker);
-        let code = self.call.no_engine(&self.seeker);
+        let retry_after = self.call.retry_after(&self.waiter);
+        let code = self.call.no_engine_code(&self.waiter);
         let problem = Problem::new(code, detail);
         problem.with_retry_after_ms(retry_after.as_millis() as u64)
     }
 
-    fn pieces(
+    fn into_events(
         self,
-        place: Place,
+        slot: Place,
         body: AnswerBody,
         watch: RunWatch,
     ) -> BoxStream<'static, io::Result<Bytes>> {
         let parser = EventParser::new(self.call.context.weight_version_field());
-        let running = Running {
+        let forwarded = ForwardedStream {
             source: self,
-            place: Some(place),
+            slot: Some(slot),
             watch: Some(watch),
             body,
             parser,
             is_over: false,
         };
-        stream::unfold(running, Running::next).boxed()
+        stream::unfold(forwarded, ForwardedStream::next).boxed()
     }
 }
 
-impl Running {
-    /// The next whole events, or the end, or the error that breaks the answer off.
+impl ForwardedStream {
+    /// Returns the next complete events, or the error that closes the response; `None` at the end.
     async fn next(mut self) -> Option<(io::Result<Bytes>, Self)> {
         while !self.is_over {
-            let limit = self
+            let timeout_at = self
                 .source
                 .call
                 .deadline
-                .min(BootInstant::now() + SILENCE_LIMIT);
-            let piece = self.next_piece(limit).await;
-            let failure = match piece {
-                Ok(Ok(Some(piece))) => match self.take(&piece) {
+                .min(BootInstant::now() + EVENT_TIMEOUT);
+            let chunk = self.next_chunk(timeout_at).await;
+            let failure = match chunk {
+                Ok(Ok(Some(chunk))) => match self.parse(&chunk) {
                     Ok(events) if events.is_empty() => continue,
                     Ok(events) => return Some((Ok(events), self)),
                     Err(failure) => failure,
@@ -349,7 +360,7 @@
                     if let Some(watch) = self.watch.take() {
                         watch.answered();
                     }
-                    self.end_place(AttemptOutcome::Answered);
+                    self.release_slot(AttemptOutcome::Answered);
                     return None;
                 }
                 Ok(Ok(None)) => SendFailure::Lost,
@@ -358,39 +369,42 @@
             };
             if !self.resume(failure).await {
                 self.is_over = true;
-                let error = io::Error::other("the series of events broke off");
+                let error =
+                    io::Error::other("the event stream ended early and could not be resumed");
                 return Some((Err(error), self));
             }
         }
         None
     }
 
-    /// The next bytes, unless the back end is known to have ended.
-    async fn next_piece(
+    /// Returns the next bytes, or `Lost` once the back end's incarnation is known to have ended.
+    async fn next_chunk(
         &mut self,
-        limit: BootInstant,
+        timeout_at: BootInstant,
     ) -> Result<Result<Option<Bytes>, SendFailure>, Elapsed> {
         let ended = self.source.call.context.ended_lives.clone();
-        let life = self.place.as_ref().map(|place| place.back_end().id.clone());
+        let incarnation = self.slot.as_ref().map(|slot| slot.back_end().id.clone());
         let ending = async {
-            match &life {
-                Some(life) => has_ended(ended, life).await,
+            match &incarnation {
+                Some(incarnation) => has_ended(ended, incarnation).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
             biased;
-            piece = sloetrail_clock::timeout_at(limit, self.body.next_piece()) => piece,
+            chunk = sloetrail_clock::timeout_at(timeout_at, self.body.next_piece()) => chunk,
             () = ending => Ok(Err(SendFailure::Lost)),
         }
     }
 
-    fn take(&mut self, piece: &[u8]) -> Result<Bytes, SendFailure> {
-        let events = self.parser.push(piece).map_err(|_| SendFailure::Lost)?;
-        if let (false, Some(begun)) = (events.is_empty(), &mut self.source.begun) {
-            begun.sent(self.source.sends);
+    /// Parses a chunk and returns the events that it completes. Fails if an event's ID does not
+    /// follow the previous one.
+    fn parse(&mut self, chunk: &[u8]) -> Result<Bytes, SendFailure> {
+        let events = self.parser.push(chunk).map_err(|_| SendFailure::Lost)?;
+        if let (false, Some(counted)) = (events.is_empty(), &mut self.source.counted) {
+            counted.sent(self.source.sends);
         }
-        let mut passed_on = Vec::new();
+        let mut forwarded = Vec::new();
         for event in events {
             let follows = match (self.source.last_event, event.id) {
                 (Some(last), Some(id)) => id == last + 1,
@@ -400,40 +414,42 @@
                 return Err(SendFailure::Lost);
             }
             self.source.last_event = event.id.or(self.source.last_event);
-            self.source.has_passed_on = true;
-            passed_on.extend_from_slice(event.raw.as_bytes());
+            self.source.has_forwarded_events = true;
+            forwarded.extend_from_slice(event.raw.as_bytes());
         }
-        Ok(Bytes::from(passed_on))
+        Ok(Bytes::from(forwarded))
     }
 
+    /// Resumes the stream at another back end after the last forwarded event. Returns false if
+    /// that is not possible.
     async fn resume(&mut self, failure: SendFailure) -> bool {
         let result = classify_failure(failure);
         if let Some(watch) = self.watch.take() {
             watch.end(&result);
         }
-        self.end_place(result.outcome());
-        if result.is_silence() {
-            // Other connections may have fallen silent at the same moment.
+        self.release_slot(result.outcome());
+        if result.is_timeout() {
+            // Other connections may have become unresponsive at the same time.
             self.source.reuse = self.source.reuse.after_try_at(BootInstant::now());
         }
         if !self.source.call.route.resumable {
             return false;
         }
         match self.source.connect().await {
-            Opening::Events(open) => {
-                self.place = Some(open.place);
+            OpenResult::Events(open) => {
+                self.slot = Some(open.slot);
                 self.watch = Some(open.watch);
                 self.body = open.body;
                 self.parser = EventParser::new(self.source.call.context.weight_version_field());
                 true
             }
-            Opening::Refused(_) | Opening::Failed(_) => false,
+            OpenResult::Refused(_) | OpenResult::Failed(_) => false,
         }
     }
 
-    fn end_place(&mut self, outcome: AttemptOutcome) {
-        if let Some(place) = self.place.take() {
-            place.end(outcome);
+    fn release_slot(&mut self, outcome: AttemptOutcome) {
+        if let Some(slot) = self.slot.take() {
+            slot.end(outcome);
         }
     }
 }
--- a/crates/sloetrail-serving/src/slot_waiter.rs
+++ b/crates/sloetrail-serving/src/slot_waiter.rs
@@ -1,4 +1,4 @@
-//! Those that wait for a place at one service of this node, and how they are woken.
+//! Waiting for a slot at a back end, in the order of the service's queue.
 
 use crate::service_pools::{Place, ServicePools};
 use sloetrail_balance::{PlaceQueue, PlaceRequest, PlaceTicket, WorkOwner};
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// The queue of one service.
+/// The requests of this node that wait for a slot at one service.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceSlotQueue {
     queue: PlaceQueue,
@@ -16,43 +16,41 @@
 }
 
 impl ServiceSlotQueue {
-    /// Puts a request among those that wait.
-    fn join(&mut self, seeker: &SlotWaiter) -> PlaceTicket {
-        let ticket = self.queue.join(&seeker.request, seeker.ticket);
-        self.wakers.insert(ticket, Arc::clone(&seeker.woken));
+    /// Adds a request, or returns the ticket that it already has.
+    fn join(&mut self, waiter: &SlotWaiter) -> PlaceTicket {
+        let ticket = self.queue.join(&waiter.request, waiter.ticket);
+        self.wakers.insert(ticket, Arc::clone(&waiter.notify));
         ticket
     }
 
-    /// Takes a request out.
     fn leave(&mut self, ticket: PlaceTicket) {
         self.queue.leave(ticket);
         self.wakers.remove(&ticket);
     }
 
-    /// True if nobody waits.
     pub(crate) fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// A place was taken.
-    pub(crate) fn began(&mut self, seeker: &SlotWaiter) {
-        self.queue.began(&seeker.request.tenant);
-        if !seeker.has_had_place {
-            self.queue.note_served(seeker.request.urgency, true);
+    /// Records that a request acquired a slot.
+    pub(crate) fn began(&mut self, waiter: &SlotWaiter) {
+        self.queue.began(&waiter.request.tenant);
+        if !waiter.has_acquired {
+            self.queue.note_served(waiter.request.urgency, true);
         }
     }
 
-    /// A request ended without ever having had a place, though there are some.
-    pub(crate) fn missed(&mut self, seeker: &SlotWaiter) {
-        self.queue.note_served(seeker.request.urgency, false);
+    /// Records that a request ended without a slot, although it could be served.
+    pub(crate) fn missed(&mut self, waiter: &SlotWaiter) {
+        self.queue.note_served(waiter.request.urgency, false);
     }
 
-    /// A place of a tenant came free.
+    /// Records that a slot used by a tenant is free again.
     pub(crate) fn ended(&mut self, tenant: &WorkOwner) {
         self.queue.ended(tenant);
     }
 
-    /// Offers a place to the first that may use one.
+    /// Offers a slot to the first waiting request that can use one.
     pub(crate) fn wake_first(
         &mut self,
         now: Timestamp,
@@ -64,18 +62,18 @@
         }
     }
 
-    /// True if a request may take a place now. Otherwise the place is offered to the first,
-    /// since it may have come without one being freed: the first is woken, and passed over
-    /// if it does not take it.
+    /// Returns true if a request may take a slot now. Otherwise offers the slot to the first
+    /// waiting request, which is skipped if it does not take it in time. Slots can also appear
+    /// without a release, for example with a new back end, so waiters are woken here too.
     pub(crate) fn ask_turn(
         &mut self,
-        seeker: &SlotWaiter,
+        waiter: &SlotWaiter,
         now: Timestamp,
         mut can_serve: impl FnMut(&AllowedRegions) -> bool,
     ) -> bool {
         let SlotWaiter {
             request, ticket, ..
-        } = seeker;
+        } = waiter;
         let is_turn = self.queue.is_turn_of(request, *ticket, now, &mut can_serve);
         if !is_turn {
             self.wake_first(now, can_serve);
@@ -83,26 +81,26 @@
         is_turn
     }
 
-    /// How many that wait go before a request whose tenant is beyond its share.
-    pub(crate) fn held_back_by(&self, seeker: &SlotWaiter) -> usize {
-        self.queue.held_back_by(&seeker.request, seeker.ticket)
+    /// Returns the number of waiting requests ahead of one whose tenant is above its share; zero
+    /// if the tenant is not.
+    pub(crate) fn held_back_by(&self, waiter: &SlotWaiter) -> usize {
+        self.queue.held_back_by(&waiter.request, waiter.ticket)
     }
 }
 
-/// A live request's search for places, over all its attempts. It waits among the others of
-/// its service from its first wait until it has a place, gives up or is dropped.
+/// Acquires slots for one live request, over all its attempts. It is in the service's queue from
+/// its first wait until it acquires a slot, leaves or is dropped.
 pub(crate) struct SlotWaiter {
     pools: Arc<ServicePools>,
     service: ServiceName,
     request: PlaceRequest,
     ticket: Option<PlaceTicket>,
     is_waiting: bool,
-    has_had_place: bool,
-    woken: Arc<Notify>,
+    has_acquired: bool,
+    notify: Arc<Notify>,
 }
 
 impl SlotWaiter {
-    /// A search that has not begun.
     pub(crate) fn new(
         pools: &Arc<ServicePools>,
         service: &ServiceName,
@@ -114,42 +112,40 @@
             request,
             ticket: None,
             is_waiting: false,
-            has_had_place: false,
-            woken: Arc::default(),
+            has_acquired: false,
+            notify: Arc::default(),
         }
     }
 
-    /// The service.
     pub(crate) fn service(&self) -> &ServiceName {
         &self.service
     }
 
-    /// Who looks for a place.
     pub(crate) fn request(&self) -> &PlaceRequest {
         &self.request
     }
 
-    /// Takes a place at a back end that is not excluded, if there is one and nobody that
-    /// waits goes before.
+    /// Acquires a slot at a back end that is not excluded, unless none is free or another
+    /// request is ahead.
     pub(crate) fn acquire(&mut self, excluded: &BTreeSet<EngineId>) -> Option<Place> {
-        let place = self.pools.acquire(self, excluded)?;
-        self.has_had_place = true;
+        let slot = self.pools.acquire(self, excluded)?;
+        self.has_acquired = true;
         self.leave();
-        Some(place)
+        Some(slot)
     }
 
-    /// Waits until a place is offered, or until this moment.
-    pub(crate) async fn wait_until(&mut self, moment: BootInstant) {
+    /// Waits until a slot is offered, or until the deadline.
+    pub(crate) async fn wait_until(&mut self, deadline: BootInstant) {
         let ticket = self
             .pools
             .with_turns(&self.service, |turns| turns.join(self));
         self.ticket = Some(ticket);
         self.is_waiting = true;
-        // Without an offer it looks by itself: a place may come without one being freed.
-        let _ = sloetrail_clock::timeout_at(moment, self.woken.notified()).await;
+        // The caller checks again after a timeout: slots can appear without an offer.
+        let _ = sloetrail_clock::timeout_at(deadline, self.notify.notified()).await;
     }
 
-    /// Waits no longer among the others; the next one has its turn.
+    /// Leaves the queue and wakes the next request.
     pub(crate) fn leave(&mut self) {
         let Some(ticket) = self.ticket.filter(|_| self.is_waiting) else {
             return;
@@ -164,7 +160,7 @@
 impl Drop for SlotWaiter {
     fn drop(&mut self) {
         self.leave();
-        if !self.has_had_place {
+        if !self.has_acquired {
             self.pools.note_missed(self);
         }
     }
--- a/crates/sloetrail-serving/src/slot_waiter/tests.rs
+++ b/crates/sloetrail-serving/src/slot_waiter/tests.rs
@@ -1,5 +1,3 @@
-//! Those that wait, and what they may do to one another.
-
 use super::{ServiceSlotQueue, SlotWaiter};
 use crate::service_pools::ServicePools;
 use crate::settings::ServingSettings;
@@ -10,18 +8,18 @@
 use std::sync::Arc;
 
 const NOW: Timestamp = Timestamp(1_000);
-/// Longer than an offer is left to the one that it was made to.
+/// After the offer made at `NOW` has expired.
 const LATER: Timestamp = Timestamp(1_016);
-const URGENT: u8 = 0;
-const PATIENT: u8 = 7;
+const HIGH_PRIORITY: u8 = 0;
+const LOW_PRIORITY: u8 = 7;
 
-/// Pools of a node that knows of no back end.
+/// Pools of a node without back ends.
 fn pools() -> Arc<ServicePools> {
     let settings = json!({
         "node": "node-1", "zone": "zone-a",
         "callers_address": "127.0.0.1:1", "ready_address": "127.0.0.1:2",
     });
-    let settings = ServingSettings::parse(settings.to_string().as_bytes(), 1).expect("sound");
+    let settings = ServingSettings::parse(settings.to_string().as_bytes(), 1).expect("valid");
     ServicePools::new(
         &settings,
         (None, Arc::default()),
@@ -30,7 +28,7 @@
     )
 }
 
-fn seeker(pools: &Arc<ServicePools>, priority: u8) -> SlotWaiter {
+fn waiter(pools: &Arc<ServicePools>, priority: u8) -> SlotWaiter {
     let request = PlaceRequest {
         urgency: Urgency::new(None, priority),
         tenant: None,
@@ -44,32 +42,32 @@
 }
 
 #[test]
-fn one_that_does_not_look_holds_up_nobody_though_no_place_was_freed() {
+fn waiters_that_ignore_an_offer_are_skipped() {
     let pools = pools();
-    let mut turns = ServiceSlotQueue::default();
-    turns.join(&seeker(&pools, URGENT));
-    let mut looking = seeker(&pools, PATIENT);
-    looking.ticket = Some(turns.join(&looking));
-    assert!(!turns.ask_turn(&looking, NOW, anywhere));
-    assert!(turns.ask_turn(&looking, LATER, anywhere));
+    let mut queue = ServiceSlotQueue::default();
+    queue.join(&waiter(&pools, HIGH_PRIORITY));
+    let mut other = waiter(&pools, LOW_PRIORITY);
+    other.ticket = Some(queue.join(&other));
+    assert!(!queue.ask_turn(&other, NOW, anywhere));
+    assert!(queue.ask_turn(&other, LATER, anywhere));
 }
 
 #[test]
-fn what_no_back_end_may_serve_does_not_put_its_kind_before_others() {
+fn unservable_requests_do_not_raise_their_priority() {
     const REQUESTS: usize = 20;
     let pools = pools();
     for _ in 0..REQUESTS {
-        let urgent = Urgency::new(None, URGENT);
-        pools.with_turns(&ServiceName::from("maps"), |turns| {
-            turns.queue.note_served(urgent, true);
+        let high = Urgency::new(None, HIGH_PRIORITY);
+        pools.with_turns(&ServiceName::from("maps"), |queue| {
+            queue.queue.note_served(high, true);
         });
-        drop(seeker(&pools, PATIENT));
+        drop(waiter(&pools, LOW_PRIORITY));
     }
-    let (urgent, patient) = (seeker(&pools, URGENT), seeker(&pools, PATIENT));
-    let (offered, first) = pools.with_turns(&ServiceName::from("maps"), |turns| {
-        let first = turns.join(&urgent);
-        turns.join(&patient);
-        (turns.queue.offer(NOW, anywhere), first)
+    let (high, low) = (waiter(&pools, HIGH_PRIORITY), waiter(&pools, LOW_PRIORITY));
+    let (offered, first) = pools.with_turns(&ServiceName::from("maps"), |queue| {
+        let first = queue.join(&high);
+        queue.join(&low);
+        (queue.queue.offer(NOW, anywhere), first)
     });
     assert_eq!(offered, Some(first));
 }
--- a/crates/sloetrail-serving/tests/streams.rs
+++ b/crates/sloetrail-serving/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Series of events: passed on whole, taken up elsewhere without a gap or a repeat.
+//! Event streams: forwarded completely, and resumed at another back end without gaps or repeats.
 
 mod support;
 
@@ -27,24 +27,24 @@
         .await
 }
 
-fn numbers(answer: &Answer) -> Vec<u64> {
+fn event_ids(answer: &Answer) -> Vec<u64> {
     let text = answer.text();
     let ids = text.lines().filter_map(|line| line.strip_prefix("id: "));
     ids.map(|id| id.parse().expect("a number")).collect()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_series_arrives_whole() {
+async fn streams_arrive_complete() {
     let cluster = cluster().await;
     let answer = events(&cluster, "/events/x", "events=7")
         .await
         .expect("an answer");
     assert_eq!(answer.status, 200);
-    assert_eq!(numbers(&answer), (1..=7).collect::<Vec<u64>>());
+    assert_eq!(event_ids(&answer), (1..=7).collect::<Vec<u64>>());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_series_that_breaks_off_goes_on_at_another_back_end() {
+async fn broken_streams_resume_at_another_back_end() {
     let cluster = cluster().await;
     for engine in &cluster.engines {
         engine.set_fault(EngineFault::BreaksOff(3), Some(1));
@@ -52,43 +52,43 @@
     let answer = events(&cluster, "/events/x", "events=9")
         .await
         .expect("an answer");
-    assert_eq!(numbers(&answer), (1..=9).collect::<Vec<u64>>());
+    assert_eq!(event_ids(&answer), (1..=9).collect::<Vec<u64>>());
     let runs: Vec<_> = cluster
         .engines
         .iter()
         .flat_map(|engine| engine.runs())
         .collect();
-    let held: Vec<Option<u64>> = runs.iter().map(|run| run.last_event).collect();
-    let is_continuation = |last: &Option<u64>| matches!(last, Some(2 | 3));
+    let last_events: Vec<Option<u64>> = runs.iter().map(|run| run.last_event).collect();
+    let is_resumed = |last: &Option<u64>| matches!(last, Some(2 | 3));
     assert!(
-        held.contains(&None) && held.iter().any(is_continuation),
-        "{held:?}"
+        last_events.contains(&None) && last_events.iter().any(is_resumed),
+        "{last_events:?}"
     );
 }
 
-/// Its caller has the beginning and can neither be refused nor come back.
+/// The caller of a started stream can neither be refused nor retry.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_series_that_breaks_off_waits_for_a_back_end_to_go_on() {
+async fn broken_streams_wait_for_a_back_end() {
     let mut cluster = native_cluster();
     let application = cluster.add_application("zone-a").await;
     application.set_pace(Duration::from_millis(50));
     let node = cluster.add_node("node-1").await;
     cluster.wait_ready(node).await;
     application.set_fault(EngineFault::BreaksOff(4), Some(1));
-    let away_for_a_while = async {
+    let unlist_temporarily = async {
         tokio::time::sleep(Duration::from_millis(75)).await;
         cluster.unlist(&application);
         tokio::time::sleep(Duration::from_millis(800)).await;
         cluster.list(&application);
     };
-    let series = events(&cluster, "/events/x", "events=9");
-    let (answer, ()) = tokio::join!(series, away_for_a_while);
-    let answer = answer.expect("a whole answer");
-    assert_eq!(numbers(&answer), (1..=9).collect::<Vec<u64>>());
+    let stream = events(&cluster, "/events/x", "events=9");
+    let (answer, ()) = tokio::join!(stream, unlist_temporarily);
+    let answer = answer.expect("a complete answer");
+    assert_eq!(event_ids(&answer), (1..=9).collect::<Vec<u64>>());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_series_that_may_not_go_on_elsewhere_does_not_look_whole() {
+async fn broken_unresumable_streams_close_the_connection() {
     let mut cluster = cluster().await;
     cluster.configure(serde_json::json!([
         {"name": "events", "host": HOST, "path_prefix": "/fixed/", "kind": "stream",
@@ -100,7 +100,10 @@
         engine.set_fault(EngineFault::BreaksOff(2), None);
     }
     let answer = events(&cluster, "/fixed/x", "events=9").await;
-    assert!(answer.is_none(), "a broken answer was read as a whole one");
+    assert!(
+        answer.is_none(),
+        "a truncated answer was read as a complete one"
+    );
     let runs: usize = cluster
         .engines
         .iter()
@@ -109,10 +112,10 @@
     assert_eq!(runs, 1);
 }
 
-/// A 429 promises the caller that its request has not run: a back end's word for it is
-/// needed, and one that only says that it is overloaded has not given it.
+/// Callers take a 429 as proof that the request did not run. An overloaded back end may have run
+/// it, so its 429 must not be forwarded.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_back_end_that_ran_a_series_is_not_quoted_with_a_promise_that_it_did_not() {
+async fn status_429_of_a_run_stream_is_not_forwarded() {
     let cluster = cluster().await;
     for engine in &cluster.engines {
         engine.set_fault(EngineFault::Overloaded, None);
@@ -121,6 +124,6 @@
         .await
         .expect("an answer");
     let runs = cluster.engines.iter().flat_map(|engine| engine.runs());
-    assert!(runs.count() > 0, "it ran");
+    assert!(runs.count() > 0, "no back end ran it");
     assert_eq!(answer.status, 502, "{}", answer.text());
 }
