--- a/crates/sloetrail-serving/src/gateway/attempt.rs
+++ b/crates/sloetrail-serving/src/gateway/attempt.rs
@@ -102,13 +102,13 @@
     names: &HeaderNames,
     deadline: BootInstant,
 ) -> Option<Request<WholeBody>> {
-    let left = deadline.saturating_duration_since(BootInstant::now());
+    let remaining = deadline.saturating_duration_since(BootInstant::now());
     let mut request = Request::new(WholeBody::new(outgoing.body.clone()));
     *request.method_mut() = outgoing.method.clone();
     *request.uri_mut() = outgoing.path_and_query.parse::<Uri>().ok()?;
     let mut sent = outgoing.headers.clone();
     headers::set_text(&mut sent, &names.expected_instance, &back_end.instance);
-    headers::set_number(&mut sent, &names.deadline_ms, left.as_millis() as u64);
+    headers::set_number(&mut sent, &names.deadline_ms, remaining.as_millis() as u64);
     *request.headers_mut() = sent;
     Some(request)
 }
@@ -124,7 +124,7 @@
     deadline: BootInstant,
 ) -> AttemptResult {
     let watch = quarantine_permit.watch_run(back_end);
-    let exchanging = exchange_whole(
+    let exchange = send_and_read(
         context,
         outgoing,
         quarantine_permit,
@@ -134,14 +134,14 @@
     );
     let result = tokio::select! {
         biased;
-        result = exchanging => result,
+        result = exchange => result,
         () = has_ended(context.ended_lives.clone(), &back_end.id) => AttemptResult::Lost,
     };
     watch.end(&result);
     result
 }
 
-async fn exchange_whole(
+async fn send_and_read(
     context: &NodeContext,
     outgoing: &OutgoingRequest,
     quarantine_permit: &Passage,
--- a/crates/sloetrail-serving/src/gateway/call_handler.rs
+++ b/crates/sloetrail-serving/src/gateway/call_handler.rs
@@ -11,7 +11,7 @@
 use super::regions;
 use super::request_id::RequestId;
 use super::response::{
-    CallerResponse, problem_response, stream_body, whole_body, with_configuration_version,
+    CallerResponse, full_body, problem_response, stream_body, with_configuration_version,
     with_request_id,
 };
 use super::stream::{self, StreamOutcome};
@@ -423,7 +423,7 @@
 async fn run_stream(call: LiveCall, log: &CallLog<'_>) -> CallerResponse {
     let claim = call.claim.clone();
     let outcome = stream::open(call).await;
-    if let (Some(claim), Some(end)) = (claim, outcome.whole()) {
+    if let (Some(claim), Some(end)) = (claim, outcome.complete_answer()) {
         claim.end(end);
     }
     match outcome {
@@ -439,14 +439,14 @@
             *response.headers_mut() = headers::end_to_end(&head);
             response
         }
-        StreamOutcome::Whole(answer) => forward_answer(answer),
+        StreamOutcome::Complete(answer) => forward_answer(answer),
         StreamOutcome::Problem(problem) => refuse(&problem, log),
     }
 }
 
 /// Returns a back end's complete answer as the response to the caller.
 fn forward_answer(answer: WholeAnswer) -> CallerResponse {
-    let mut response = Response::new(whole_body(answer.body));
+    let mut response = Response::new(full_body(answer.body));
     *response.status_mut() = answer.status;
     let headers = headers::end_to_end(&answer.headers);
     *response.headers_mut() = headers;
--- a/crates/sloetrail-serving/src/gateway/call_log.rs
+++ b/crates/sloetrail-serving/src/gateway/call_log.rs
@@ -38,7 +38,7 @@
 
     /// Records that the node answers with its own error.
     pub(crate) fn record_failure(&self, problem: &Problem, attempts: usize) {
-        let left = self.deadline.saturating_duration_since(BootInstant::now());
+        let remaining = self.deadline.saturating_duration_since(BootInstant::now());
         let took = self.received.elapsed();
         telemetry::request_ended(self.route, problem.status, problem.code, took);
         let regions = self.regions.as_ref().map(ToString::to_string);
@@ -49,7 +49,7 @@
             code: problem.code,
             attempts,
             took_ms: took.as_millis() as u64,
-            left_ms: left.as_millis() as u64,
+            left_ms: remaining.as_millis() as u64,
             revision: self.configuration.revision.0,
             regions: regions.as_deref().unwrap_or("-"),
             detail: &problem.detail,
--- a/crates/sloetrail-serving/src/gateway/live.rs
+++ b/crates/sloetrail-serving/src/gateway/live.rs
@@ -124,14 +124,14 @@
     }
 
     /// Records in the claim that the request is about to be sent.
-    pub(crate) fn note_send(&self) {
+    pub(crate) fn record_send(&self) {
         if let Some(claim) = &self.claim {
             claim.note_send();
         }
     }
 
     /// Records in the claim that a send certainly did not run.
-    pub(crate) fn note_not_run(&self) {
+    pub(crate) fn record_not_run(&self) {
         if let Some(claim) = &self.claim {
             claim.note_not_run();
         }
@@ -187,7 +187,7 @@
         let now = BootInstant::now();
         let bounds = WaitBounds {
             latency_target: self.route.latency_target,
-            time_left: self.deadline.saturating_duration_since(now),
+            remaining: self.deadline.saturating_duration_since(now),
         };
         let next_check = wait.next_check(now, estimate, bounds);
         if is_above_share {
@@ -202,8 +202,8 @@
 
     /// Returns the retry delay if the request is refused.
     pub(crate) fn retry_after(&self, waiter: &SlotWaiter) -> Duration {
-        let time_left = self.deadline.saturating_duration_since(BootInstant::now());
-        slot_wait::retry_after(self.place_outlook(waiter), time_left, rand::random())
+        let remaining = self.deadline.saturating_duration_since(BootInstant::now());
+        slot_wait::retry_after(self.place_outlook(waiter), remaining, rand::random())
     }
 
     /// Describes why the request got no slot.
@@ -314,12 +314,12 @@
     }
 
     fn may_try_again(&self) -> bool {
-        let time_left = self
+        let remaining = self
             .call
             .deadline
             .saturating_duration_since(BootInstant::now());
         let is_safe = self.call.is_idempotent() || self.possible_runs == 0;
-        let has_time = self.has_attempts_left() && time_left > MIN_ATTEMPT_TIME;
+        let has_time = self.has_attempts_left() && remaining > MIN_ATTEMPT_TIME;
         is_safe && has_time && self.quarantine_permit.is_open()
     }
 
@@ -354,7 +354,7 @@
             return false;
         };
         self.tried.insert(slot.back_end().id.clone());
-        self.call.note_send();
+        self.call.record_send();
         self.sends += 1;
         let send = self.sends;
         if let Some(counted) = &mut self.counted {
@@ -367,7 +367,7 @@
         self.reuse = reuse.after_try_at(BootInstant::now());
         let deadline = self.call.deadline;
         let running = async move {
-            let began = BootInstant::now();
+            let started_at = BootInstant::now();
             let result = run_attempt(
                 &context,
                 &outgoing,
@@ -381,7 +381,7 @@
                 send,
                 slot,
                 result,
-                took: began.elapsed(),
+                took: started_at.elapsed(),
             }
         };
         self.pending.push(Box::pin(running));
@@ -435,7 +435,7 @@
             self.possible_runs += 1;
             return;
         }
-        self.call.note_not_run();
+        self.call.record_not_run();
         if let Some(counted) = &mut self.counted {
             counted.not_run(send);
         }
--- a/crates/sloetrail-serving/src/gateway/read.rs
+++ b/crates/sloetrail-serving/src/gateway/read.rs
@@ -5,7 +5,7 @@
 //! table tells it, means that there is no such batch.
 
 use super::known_batch::{header_of, table_unavailable};
-use super::response::{CallerResponse, json_response, problem_response, whole_body};
+use super::response::{CallerResponse, full_body, json_response, problem_response};
 use super::result_wait::{MAX_PAGE_BYTES, ResultWait};
 use crate::batch_rows::{read_results, read_submission};
 use crate::context::NodeContext;
@@ -179,5 +179,5 @@
         let detail = format!("batch {id} has no item {item}");
         return Err(Problem::new(ResultCode::UnknownBatch, detail));
     };
-    Ok(http::Response::new(whole_body(found.body)))
+    Ok(http::Response::new(full_body(found.body)))
 }
--- a/crates/sloetrail-serving/src/gateway/response.rs
+++ b/crates/sloetrail-serving/src/gateway/response.rs
@@ -17,7 +17,7 @@
 
 pub(crate) type CallerResponse = Response<CallerBody>;
 
-pub(crate) fn whole_body(bytes: impl Into<Bytes>) -> CallerBody {
+pub(crate) fn full_body(bytes: impl Into<Bytes>) -> CallerBody {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
@@ -29,7 +29,7 @@
 }
 
 pub(crate) fn json_response(status: StatusCode, body: Vec<u8>) -> CallerResponse {
-    let mut response = Response::new(whole_body(body));
+    let mut response = Response::new(full_body(body));
     *response.status_mut() = status;
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, json);
@@ -37,7 +37,7 @@
 }
 
 pub(crate) fn empty_response(status: StatusCode) -> CallerResponse {
-    let mut response = Response::new(whole_body(Bytes::new()));
+    let mut response = Response::new(full_body(Bytes::new()));
     *response.status_mut() = status;
     response
 }
--- a/crates/sloetrail-serving/src/gateway/result_wait.rs
+++ b/crates/sloetrail-serving/src/gateway/result_wait.rs
@@ -1,8 +1,8 @@
 //! How long a long poll for results lasts.
 //!
 //! A trainer continues once the groups that it requires are complete. Answering it earlier
-//! would delay the completing results until its next read, so the poll lasts until a required
-//! group is complete or the reader's waiting time is over.
+//! would delay the completing results until its next read, so the poll lasts until the required
+//! groups are complete or the reader's waiting time is over.
 
 use sloetrail_batch::{BatchHeader, ListedResult};
 use sloetrail_clock::BootInstant;
@@ -17,17 +17,17 @@
 /// The waiting time of one reader.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ResultWait {
-    began: BootInstant,
+    started_at: BootInstant,
     wait: Duration,
     /// Maximum wait for more results while there are some.
     gather_wait: Duration,
 }
 
 impl ResultWait {
-    /// The wait of a reader that arrived at `began` and waits up to `wait`. `now_ms` is the
+    /// The wait of a reader that arrived at `started_at` and waits up to `wait`. `now_ms` is the
     /// table's clock at that time; the batch counts as due if it is `None`.
     pub(super) fn new(
-        began: BootInstant,
+        started_at: BootInstant,
         wait: Duration,
         header: &BatchHeader,
         now_ms: Option<u64>,
@@ -36,7 +36,7 @@
         let due_in_ms = now_ms.map_or(0, |now_ms| due_at_ms.saturating_sub(now_ms));
         let due_in = Duration::from_millis(due_in_ms);
         Self {
-            began,
+            started_at,
             wait: wait.min(MAX_WAIT),
             // Once the batch is due every result counts: wait no longer than until the next read.
             gather_wait: due_in.max(READ_INTERVAL),
@@ -44,9 +44,9 @@
     }
 
     /// The wait of a reader that needs any result, required or not.
-    pub(super) fn for_any_result(began: BootInstant, wait: Duration) -> Self {
+    pub(super) fn for_any_result(started_at: BootInstant, wait: Duration) -> Self {
         Self {
-            began,
+            started_at,
             wait: wait.min(MAX_WAIT),
             gather_wait: Duration::ZERO,
         }
@@ -55,12 +55,12 @@
     /// Returns when to answer the reader, given the results known so far.
     pub(super) fn wait_deadline(&self, known: &[ListedResult]) -> BootInstant {
         if known.is_empty() {
-            return self.began + self.wait;
+            return self.started_at + self.wait;
         }
         if is_enough(known) {
-            return self.began;
+            return self.started_at;
         }
-        self.began + self.wait.min(self.gather_wait)
+        self.started_at + self.wait.min(self.gather_wait)
     }
 }
 
--- a/crates/sloetrail-serving/src/gateway/result_wait/tests.rs
+++ b/crates/sloetrail-serving/src/gateway/result_wait/tests.rs
@@ -37,9 +37,9 @@
 
 /// Returns how long a reader with this waiting time and these results waits.
 fn waited(wait: Duration, now_ms: Option<u64>, known: &[ListedResult]) -> Duration {
-    let began = BootInstant::now();
-    let result_wait = ResultWait::new(began, wait, &header(), now_ms);
-    result_wait.wait_deadline(known) - began
+    let started_at = BootInstant::now();
+    let result_wait = ResultWait::new(started_at, wait, &header(), now_ms);
+    result_wait.wait_deadline(known) - started_at
 }
 
 #[test]
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn readers_wait_while_no_required_group_is_complete() {
+fn readers_wait_until_required_groups_are_complete() {
     let now = Some(ACCEPTED_AT_MS);
     assert_eq!(waited(MAX_WAIT, now, &[]), MAX_WAIT);
     assert_eq!(waited(MAX_WAIT, now, &[result(false)]), MAX_WAIT);
@@ -93,8 +93,8 @@
 
 #[test]
 fn any_result_ends_the_wait_if_all_count() {
-    let began = BootInstant::now();
-    let result_wait = ResultWait::for_any_result(began, MAX_WAIT);
-    assert_eq!(result_wait.wait_deadline(&[]) - began, MAX_WAIT);
-    assert_eq!(result_wait.wait_deadline(&[result(false)]), began);
+    let started_at = BootInstant::now();
+    let result_wait = ResultWait::for_any_result(started_at, MAX_WAIT);
+    assert_eq!(result_wait.wait_deadline(&[]) - started_at, MAX_WAIT);
+    assert_eq!(result_wait.wait_deadline(&[result(false)]), started_at);
 }
--- a/crates/sloetrail-serving/src/gateway/slot_wait.rs
+++ b/crates/sloetrail-serving/src/gateway/slot_wait.rs
@@ -62,7 +62,7 @@
 pub(crate) struct WaitBounds {
     pub(crate) latency_target: Duration,
     /// The time until the request's deadline.
-    pub(crate) time_left: Duration,
+    pub(crate) remaining: Duration,
 }
 
 /// A request's wait for slots, over all its attempts.
@@ -84,7 +84,7 @@
         let in_target = bounds.latency_target.saturating_sub(answer_time);
         // Leaves the caller enough time that it honors a retry delay of one answer time.
         let before_retry = bounds
-            .time_left
+            .remaining
             .saturating_sub(answer_time * RETRY_DELAY_DIVISOR);
         let longest = (answer_time + CHECK_INTERVAL)
             .min(in_target)
@@ -110,13 +110,13 @@
 /// were refused together.
 pub(crate) fn retry_after(
     estimate: Option<SlotWaitEstimate>,
-    time_left: Duration,
+    remaining: Duration,
     jitter: f64,
 ) -> Duration {
     let likely = estimate.map_or(NO_BACK_END_RETRY_DELAY, |estimate| {
         estimate.time_to_slot().max(estimate.answer_time())
     });
-    let latest = (likely * 2).min(time_left / RETRY_DELAY_DIVISOR);
+    let latest = (likely * 2).min(remaining / RETRY_DELAY_DIVISOR);
     let earliest = likely.min(latest.mul_f64(1.0 - MIN_JITTER_FRACTION));
     let drawn = earliest + (latest - earliest).mul_f64(jitter);
     drawn.max(PAUSE_AFTER_REFUSAL)
--- a/crates/sloetrail-serving/src/gateway/slot_wait/tests.rs
+++ b/crates/sloetrail-serving/src/gateway/slot_wait/tests.rs
@@ -26,10 +26,10 @@
     })
 }
 
-fn bounds(latency_target_ms: u64, time_left_ms: u64) -> WaitBounds {
+fn bounds(latency_target_ms: u64, remaining_ms: u64) -> WaitBounds {
     WaitBounds {
         latency_target: milliseconds(latency_target_ms),
-        time_left: milliseconds(time_left_ms),
+        remaining: milliseconds(remaining_ms),
     }
 }
 
@@ -40,14 +40,14 @@
 
 /// Returns how long a request waits while the estimate stays the same.
 fn waited_within(estimate: Option<SlotWaitEstimate>, bounds: WaitBounds) -> Duration {
-    let began = BootInstant::now();
-    let mut now = began;
+    let started_at = BootInstant::now();
+    let mut now = started_at;
     let mut wait = SlotWait::default();
     while let Some(next) = wait.next_check(now, estimate, bounds) {
         assert!(next > now);
         now = next;
     }
-    now - began
+    now - started_at
 }
 
 /// All slots are taken, and the tenant is above its share with this many requests ahead.
@@ -70,9 +70,9 @@
     assert_eq!(in_time, milliseconds(60), "a slot is freed every 7.5 ms");
     assert!(in_time < usual, "longer than the wait of others: {usual:?}");
     assert_eq!(waited(above_share(60, 8, 20), 200), Duration::ZERO);
-    let left = milliseconds(3_000);
-    let later = retry_after(above_share(60, 8, 20), left, 0.5);
-    assert!(later > retry_after(full(60, 8), left, 0.5));
+    let remaining = milliseconds(3_000);
+    let later = retry_after(above_share(60, 8, 20), remaining, 0.5);
+    assert!(later > retry_after(full(60, 8), remaining, 0.5));
 }
 
 #[test]
@@ -105,21 +105,21 @@
 
 #[test]
 fn all_attempts_share_one_wait() {
-    let began = BootInstant::now();
+    let started_at = BootInstant::now();
     let target = bounds(400, 10_000);
     let mut wait = SlotWait::default();
-    assert!(wait.next_check(began, full(100, 8), target).is_some());
-    let later = began + milliseconds(200);
+    assert!(wait.next_check(started_at, full(100, 8), target).is_some());
+    let later = started_at + milliseconds(200);
     assert_eq!(wait.next_check(later, full(100, 8), target), None);
 }
 
 #[test]
 fn retry_delays_cover_the_expected_wait_with_jitter() {
-    let left = milliseconds(2_000);
-    let early = retry_after(full(60, 8), left, 0.0);
-    let late = retry_after(full(60, 8), left, 1.0);
+    let remaining = milliseconds(2_000);
+    let early = retry_after(full(60, 8), remaining, 0.0);
+    let late = retry_after(full(60, 8), remaining, 1.0);
     assert_eq!((early, late), (milliseconds(60), milliseconds(120)));
-    let after_backoff = retry_after(in_backoff(480, 60), left, 0.0);
+    let after_backoff = retry_after(in_backoff(480, 60), remaining, 0.0);
     assert_eq!(
         after_backoff,
         milliseconds(480),
@@ -129,11 +129,11 @@
 
 #[test]
 fn retry_delays_stay_within_a_third_of_the_time_left() {
-    let left = milliseconds(900);
+    let remaining = milliseconds(900);
     for estimate in [in_backoff(2_000, 60), in_backoff(250, 60), None] {
-        assert_eq!(retry_after(estimate, left, 1.0), left / 3);
-        let early = retry_after(estimate, left, 0.0);
-        assert!(early < left / 3, "retry delays without jitter");
+        assert_eq!(retry_after(estimate, remaining, 1.0), remaining / 3);
+        let early = retry_after(estimate, remaining, 0.0);
+        assert!(early < remaining / 3, "retry delays without jitter");
         assert!(
             early >= milliseconds(240),
             "retry too long before the backoff ends"
@@ -146,16 +146,16 @@
 #[test]
 fn refused_callers_have_time_to_retry() {
     const ANSWER_TIME_MS: u64 = 60;
-    for left in [130, 180, 200, 230, 250, 400] {
-        let waited = waited_within(full(ANSWER_TIME_MS, 8), bounds(400, left));
-        let left_then = milliseconds(left) - waited;
-        let longest = left_then / 3;
-        let delay = retry_after(full(ANSWER_TIME_MS, 8), left_then, 1.0);
-        assert!(delay <= longest, "{delay:?} of {left_then:?}");
-        let is_short = milliseconds(left) < milliseconds(3 * ANSWER_TIME_MS);
+    for remaining_ms in [130, 180, 200, 230, 250, 400] {
+        let waited = waited_within(full(ANSWER_TIME_MS, 8), bounds(400, remaining_ms));
+        let remaining_then = milliseconds(remaining_ms) - waited;
+        let longest = remaining_then / 3;
+        let delay = retry_after(full(ANSWER_TIME_MS, 8), remaining_then, 1.0);
+        assert!(delay <= longest, "{delay:?} of {remaining_then:?}");
+        let is_short = milliseconds(remaining_ms) < milliseconds(3 * ANSWER_TIME_MS);
         assert!(
             is_short || longest >= milliseconds(ANSWER_TIME_MS),
-            "less than an answer time to retry: {left_then:?}"
+            "less than an answer time to retry: {remaining_then:?}"
         );
         assert!(
             !is_short || waited.is_zero(),
@@ -166,9 +166,9 @@
 
 #[test]
 fn started_streams_wait_until_their_deadline() {
-    let began = BootInstant::now();
-    let deadline = began + milliseconds(500);
-    let mut now = began;
+    let started_at = BootInstant::now();
+    let deadline = started_at + milliseconds(500);
+    let mut now = started_at;
     while let Some(next) = next_check_mid_stream(now, deadline) {
         assert!(next > now);
         now = next;
--- a/crates/sloetrail-serving/src/gateway/stream.rs
+++ b/crates/sloetrail-serving/src/gateway/stream.rs
@@ -50,17 +50,17 @@
         events: BoxStream<'static, io::Result<Bytes>>,
     },
     /// A complete answer that is not a success.
-    Whole(WholeAnswer),
+    Complete(WholeAnswer),
     /// The node's own error.
     Problem(Problem),
 }
 
 impl StreamOutcome {
     /// Returns the final answer, or `None` for an event stream.
-    pub(crate) fn whole(&self) -> Option<Result<&WholeAnswer, &Problem>> {
+    pub(crate) fn complete_answer(&self) -> Option<Result<&WholeAnswer, &Problem>> {
         match self {
             StreamOutcome::Events { .. } => None,
-            StreamOutcome::Whole(answer) => Some(Ok(answer)),
+            StreamOutcome::Complete(answer) => Some(Ok(answer)),
             StreamOutcome::Problem(problem) => Some(Err(problem)),
         }
     }
@@ -96,7 +96,7 @@
 pub(crate) async fn open(call: LiveCall) -> StreamOutcome {
     let mut source = EventSource::new(call);
     match source.connect().await {
-        OpenResult::Refused(answer) => StreamOutcome::Whole(answer),
+        OpenResult::Refused(answer) => StreamOutcome::Complete(answer),
         OpenResult::Failed(problem) => StreamOutcome::Problem(problem),
         OpenResult::Events(open) => StreamOutcome::Events {
             status: open.status,
@@ -181,18 +181,18 @@
                 break;
             };
             self.tried.insert(slot.back_end().id.clone());
-            self.call.note_send();
+            self.call.record_send();
             self.sends += 1;
-            let began = BootInstant::now();
+            let started_at = BootInstant::now();
             match self.try_back_end(slot).await {
                 Ok(opened) => return opened,
                 Err(result) => {
                     if result.is_timeout() {
                         // Older connections may be unresponsive too.
-                        self.reuse = self.reuse.after_try_at(began);
+                        self.reuse = self.reuse.after_try_at(started_at);
                     }
                     match result.is_proved_not_run() {
-                        true => self.call.note_not_run(),
+                        true => self.call.record_not_run(),
                         false => self.possible_runs += 1,
                     }
                     last_result = Some(result.as_str());
@@ -241,7 +241,7 @@
     }
 
     async fn try_back_end(&mut self, slot: Place) -> Result<OpenResult, AttemptResult> {
-        let began = BootInstant::now();
+        let started_at = BootInstant::now();
         let watch = self.quarantine_permit.watch_run(slot.shared_back_end());
         let result = match self.exchange(&slot).await {
             Ok(exchange) if exchange.status.is_success() => {
@@ -250,7 +250,7 @@
                     slot, exchange, watch,
                 ))));
             }
-            Ok(exchange) => self.classify_whole(exchange).await,
+            Ok(exchange) => self.classify_complete(exchange).await,
             Err(result) => result,
         };
         watch.end(&result);
@@ -261,14 +261,18 @@
             }
             failure => failure,
         };
-        self.call
-            .log_failed_attempt(&self.quarantine_permit, &slot, &failure, began.elapsed());
+        self.call.log_failed_attempt(
+            &self.quarantine_permit,
+            &slot,
+            &failure,
+            started_at.elapsed(),
+        );
         slot.end(failure.outcome());
         Err(failure)
     }
 
     /// Reads and classifies an answer that is not an event stream.
-    async fn classify_whole(&self, exchange: Exchange) -> AttemptResult {
+    async fn classify_complete(&self, exchange: Exchange) -> AttemptResult {
         let context = &self.call.context;
         let limit = context.answer_limit();
         match exchange.whole(limit, self.call.deadline).await {
@@ -344,12 +348,12 @@
     /// Returns the next complete events, or the error that closes the response; `None` at the end.
     async fn next(mut self) -> Option<(io::Result<Bytes>, Self)> {
         while !self.is_over {
-            let timeout_at = self
+            let chunk_deadline = self
                 .source
                 .call
                 .deadline
                 .min(BootInstant::now() + EVENT_TIMEOUT);
-            let chunk = self.next_chunk(timeout_at).await;
+            let chunk = self.next_chunk(chunk_deadline).await;
             let failure = match chunk {
                 Ok(Ok(Some(chunk))) => match self.parse(&chunk) {
                     Ok(events) if events.is_empty() => continue,
@@ -380,7 +384,7 @@
     /// Returns the next bytes, or `Lost` once the back end's incarnation is known to have ended.
     async fn next_chunk(
         &mut self,
-        timeout_at: BootInstant,
+        chunk_deadline: BootInstant,
     ) -> Result<Result<Option<Bytes>, SendFailure>, Elapsed> {
         let ended = self.source.call.context.ended_lives.clone();
         let incarnation = self.slot.as_ref().map(|slot| slot.back_end().id.clone());
@@ -392,7 +396,7 @@
         };
         tokio::select! {
             biased;
-            chunk = sloetrail_clock::timeout_at(timeout_at, self.body.next_piece()) => chunk,
+            chunk = sloetrail_clock::timeout_at(chunk_deadline, self.body.next_piece()) => chunk,
             () = ending => Ok(Err(SendFailure::Lost)),
         }
     }
--- a/crates/sloetrail-serving/src/node.rs
+++ b/crates/sloetrail-serving/src/node.rs
@@ -11,7 +11,7 @@
 use crate::follow::{FleetSize, FollowPaces, HeldReading, ViewReceiver, follow, follow_directory};
 use crate::gateway::call_handler::CallHandler;
 use crate::gateway::claims::{Claims, sweep};
-use crate::gateway::response::{empty_response, whole_body};
+use crate::gateway::response::{empty_response, full_body};
 use crate::http::{ConnectionTracker, ListenerSettings, serve_connections};
 use crate::leases::watch_leased_sets;
 use crate::operator::watch_operator;
@@ -381,7 +381,7 @@
         let answer = context.quarantine.answer_operator(method, path);
         let response = answer.unwrap_or_else(|| {
             telemetry::beliefs(&beliefs(&context, &callers));
-            http::Response::new(whole_body(telemetry::render()))
+            http::Response::new(full_body(telemetry::render()))
         });
         async move { response }
     });
--- a/crates/sloetrail-serving/src/quarantine/operator.rs
+++ b/crates/sloetrail-serving/src/quarantine/operator.rs
@@ -1,7 +1,7 @@
 //! What an operator sees of the quarantine, and how a request is released.
 
 use super::Quarantine;
-use crate::gateway::response::{CallerResponse, empty_response, whole_body};
+use crate::gateway::response::{CallerResponse, empty_response, full_body};
 use http::{Method, Response, StatusCode};
 use serde::Serialize;
 use sloetrail_quarantine::RequestDigest;
@@ -53,6 +53,6 @@
                 since_last_ms: now_ms.saturating_sub(held.last_ms),
             })
             .collect();
-        Response::new(whole_body(serde_json::to_vec(&held).unwrap_or_default()))
+        Response::new(full_body(serde_json::to_vec(&held).unwrap_or_default()))
     }
 }
--- a/crates/sloetrail-serving/src/relay/server.rs
+++ b/crates/sloetrail-serving/src/relay/server.rs
@@ -5,7 +5,7 @@
     TableCall, decode, encode,
 };
 use super::peers::Peers;
-use crate::gateway::response::{CallerResponse, empty_response, whole_body};
+use crate::gateway::response::{CallerResponse, empty_response, full_body};
 use crate::http::{ConnectionTracker, ListenerSettings, serve_connections};
 use crate::settings::ServingSettings;
 use crate::table::Table;
@@ -70,7 +70,7 @@
 
     async fn answer(&self, request: Request<Incoming>) -> CallerResponse {
         let answered = match request.uri().path() {
-            LIFE_PATH => Ok(Response::new(whole_body(self.life.as_str().to_owned()))),
+            LIFE_PATH => Ok(Response::new(full_body(self.life.as_str().to_owned()))),
             CALLS_PATH => self.carry_call(request).await,
             PROBE_PATH => self.probe_another(request).await,
             _ => Err(StatusCode::NOT_FOUND),
@@ -140,5 +140,5 @@
 }
 
 fn encoded(answer: &impl Serialize) -> CallerResponse {
-    Response::new(whole_body(encode(answer)))
+    Response::new(full_body(encode(answer)))
 }
--- a/crates/sloetrail-serving/src/slot_waiter.rs
+++ b/crates/sloetrail-serving/src/slot_waiter.rs
@@ -138,7 +138,7 @@
     pub(crate) async fn wait_until(&mut self, deadline: BootInstant) {
         let ticket = self
             .pools
-            .with_turns(&self.service, |turns| turns.join(self));
+            .with_turns(&self.service, |queue| queue.join(self));
         self.ticket = Some(ticket);
         self.is_waiting = true;
         // The caller checks again after a timeout: slots can appear without an offer.
@@ -152,7 +152,7 @@
         };
         self.is_waiting = false;
         self.pools
-            .with_turns(&self.service, |turns| turns.leave(ticket));
+            .with_turns(&self.service, |queue| queue.leave(ticket));
         self.pools.wake_first(&self.service);
     }
 }
--- a/crates/sloetrail-serving/tests/callers_that_leave.rs
+++ b/crates/sloetrail-serving/tests/callers_that_leave.rs
@@ -250,10 +250,10 @@
         let _open = Caller(stream).leave(leaving).await;
         tokio::time::sleep(CANCELLED_WITHIN).await;
         assert_eq!(arrivals(&cluster), 0, "{leaving:?}");
-        let whole = Call::new(http::Method::POST, HOST, "/live/x")
+        let call = Call::new(http::Method::POST, HOST, "/live/x")
             .header(&request_id, "whole")
             .body(vec![b'x'; BODY]);
-        let answer = whole.send(cluster.nodes[0].callers).await;
+        let answer = call.send(cluster.nodes[0].callers).await;
         assert_eq!(answer.expect("an answer").status, 200, "{leaving:?}");
     }
 }
