--- a/crates/sloetrail-serving/src/service_pools.rs
+++ b/crates/sloetrail-serving/src/service_pools.rs
@@ -199,7 +199,7 @@
         let now = self.now();
         let mut state = self.state.lock().expect("not poisoned");
         state.readmit(service, now);
-        if !state.ask_turn(seeker, excluded, now) {
+        if !state.check_turn(seeker, excluded, now) {
             return None;
         }
         let State {
@@ -250,7 +250,7 @@
         let mut state = self.state.lock().expect("not poisoned");
         let balancer = state.balancers.get(service);
         if balancer.is_some_and(|balancer| balancer.may_serve(now, regions)) {
-            state.turns(service).missed(seeker);
+            state.turns(service).record_unserved(seeker);
         }
     }
 
--- a/crates/sloetrail-serving/src/service_pools/state.rs
+++ b/crates/sloetrail-serving/src/service_pools/state.rs
@@ -108,7 +108,7 @@
     }
 
     /// False if a place that this request could have is another one's, which is told so.
-    pub(super) fn ask_turn(
+    pub(super) fn check_turn(
         &mut self,
         seeker: &SlotWaiter,
         excluded: &BTreeSet<EngineId>,
@@ -124,7 +124,7 @@
             return true;
         }
         let nothing = BTreeSet::new();
-        turns.ask_turn(seeker, now, |regions| {
+        turns.check_turn(seeker, now, |regions| {
             balancer.has_place(now, live_demand(&nothing, regions))
         })
     }
--- a/crates/sloetrail-serving/src/slot_waiter.rs
+++ b/crates/sloetrail-serving/src/slot_waiter.rs
@@ -41,7 +41,7 @@
     }
 
     /// Records that a request ended without a slot, although it could be served.
-    pub(crate) fn missed(&mut self, waiter: &SlotWaiter) {
+    pub(crate) fn record_unserved(&mut self, waiter: &SlotWaiter) {
         self.queue.note_served(waiter.request.urgency, false);
     }
 
@@ -65,7 +65,7 @@
     /// Returns true if a request may take a slot now. Otherwise offers the slot to the first
     /// waiting request, which is skipped if it does not take it in time. Slots can also appear
     /// without a release, for example with a new back end, so waiters are woken here too.
-    pub(crate) fn ask_turn(
+    pub(crate) fn check_turn(
         &mut self,
         waiter: &SlotWaiter,
         now: Timestamp,
--- a/crates/sloetrail-serving/src/slot_waiter/tests.rs
+++ b/crates/sloetrail-serving/src/slot_waiter/tests.rs
@@ -48,8 +48,8 @@
     queue.join(&waiter(&pools, HIGH_PRIORITY));
     let mut other = waiter(&pools, LOW_PRIORITY);
     other.ticket = Some(queue.join(&other));
-    assert!(!queue.ask_turn(&other, NOW, anywhere));
-    assert!(queue.ask_turn(&other, LATER, anywhere));
+    assert!(!queue.check_turn(&other, NOW, anywhere));
+    assert!(queue.check_turn(&other, LATER, anywhere));
 }
 
 #[test]
