--- a/crates/sloetrail-serving/src/gateway/submit.rs
+++ b/crates/sloetrail-serving/src/gateway/submit.rs
@@ -19,6 +19,7 @@
 use super::batch_lookup::{RETRY_AFTER, find_header, table_unavailable};
 use super::message::{CallerResponse, empty_response, problem_response};
 use super::regions;
+use super::response::{CallerResponse, empty_response, problem_response};
 use crate::batch_rows::encode_header;
 use crate::context::NodeContext;
 use crate::events::{self, Event};
--- a/crates/sloetrail-serving/src/owner/mod.rs
+++ b/crates/sloetrail-serving/src/owner/mod.rs
@@ -31,7 +31,7 @@
 
 use self::service_owner::ServiceOwner;
 use crate::context::NodeContext;
-use crate::leases::{BatchSet, Term, LeaseTask};
+use crate::leases::{BatchSet, LeaseTask, Term};
 use futures_util::future::BoxFuture;
 use std::sync::Arc;
 
--- a/crates/sloetrail-serving/src/owner/run.rs
+++ b/crates/sloetrail-serving/src/owner/run.rs
@@ -384,8 +384,8 @@
         AttemptResult::NotRun => RunOutcome::NotRun,
         AttemptResult::WrongInstance => RunOutcome::WrongInstance,
         AttemptResult::NotSent => RunOutcome::NotSent,
-        AttemptResult::HeldBack => RunOutcome::HeldBack,
-        AttemptResult::OutOfTime => RunOutcome::Silent,
+        AttemptResult::Withheld => RunOutcome::HeldBack,
+        AttemptResult::TimedOut => RunOutcome::Silent,
         AttemptResult::RanAndFailed(_) => RunOutcome::Failed,
         AttemptResult::Answered(_) | AttemptResult::Lost | AttemptResult::TooLarge => {
             RunOutcome::Lost
--- a/crates/sloetrail-serving/src/quarantine/crash_watch.rs
+++ b/crates/sloetrail-serving/src/quarantine/crash_watch.rs
@@ -103,7 +103,10 @@
 
 impl CrashWatch {
     /// A watch that knows of no losses.
-    pub(super) fn new(directory: watch::Receiver<Arc<Directory>>, ended: EndedIncarnationsReceiver) -> Self {
+    pub(super) fn new(
+        directory: watch::Receiver<Arc<Directory>>,
+        ended: EndedIncarnationsReceiver,
+    ) -> Self {
         Self {
             directory,
             ended,
--- a/crates/sloetrail-serving/src/quarantine/mod.rs
+++ b/crates/sloetrail-serving/src/quarantine/mod.rs
@@ -255,7 +255,10 @@
 
 /// Back ends that came back under their names before their addresses were looked at have crashed
 /// all the same.
-async fn follow_ended(quarantine: std::sync::Weak<Quarantine>, mut ended: EndedIncarnationsReceiver) {
+async fn follow_ended(
+    quarantine: std::sync::Weak<Quarantine>,
+    mut ended: EndedIncarnationsReceiver,
+) {
     while ended.changed().await.is_ok() {
         ended.mark_unchanged();
         let Some(quarantine) = quarantine.upgrade() else {
--- a/crates/sloetrail-serving/src/service_pools/state.rs
+++ b/crates/sloetrail-serving/src/service_pools/state.rs
@@ -6,9 +6,10 @@
 use crate::leases::LeasedSets;
 use crate::loss_backoff::LossBackoff;
 use crate::operator::InForce;
-use crate::slot_waiter::{SlotWaiter, ServiceSlotQueue};
 use crate::relay::peers::Peers;
 use crate::settings::ColdTolerance;
+use crate::slot_waiter::{ServiceSlotQueue, SlotWaiter};
+use crate::slot_waiter::{ServiceSlotQueue, SlotWaiter};
 use rand::rngs::StdRng;
 use sloetrail_balance::{
     AttemptOutcome, Balancer, BalancerSettings, ColdBudget, ColdEngine, EngineReport,
@@ -101,7 +102,8 @@
     /// The queue of those that wait for a place at a service.
     pub(super) fn turns(&mut self, service: &ServiceName) -> &mut ServiceSlotQueue {
         if !self.turns.contains_key(service) {
-            self.turns.insert(service.clone(), ServiceSlotQueue::default());
+            self.turns
+                .insert(service.clone(), ServiceSlotQueue::default());
         }
         self.turns.get_mut(service).expect("it was inserted")
     }
