--- a/crates/sloetrail-serving/src/gateway/read.rs
+++ b/crates/sloetrail-serving/src/gateway/read.rs
@@ -5,7 +5,7 @@
 //! header row.
 
 use super::batch_lookup::{find_header, table_unavailable};
-use super::message::{CallerResponse, full_body, json_response, problem_response};
+use super::response::{CallerResponse, full_body, json_response, problem_response};
 use super::result_wait::{MAX_PAGE_BYTES, ResultWait};
 use crate::batch_rows::{read_results, read_submission};
 use crate::context::NodeContext;
--- a/crates/sloetrail-serving/src/gateway/submit.rs
+++ b/crates/sloetrail-serving/src/gateway/submit.rs
@@ -17,7 +17,6 @@
 
 use self::waiting::{AcceptanceError, wait_for_table};
 use super::batch_lookup::{RETRY_AFTER, find_header, table_unavailable};
-use super::message::{CallerResponse, empty_response, problem_response};
 use super::regions;
 use super::response::{CallerResponse, empty_response, problem_response};
 use crate::batch_rows::encode_header;
--- a/crates/sloetrail-serving/src/gateway/submit/resubmission.rs
+++ b/crates/sloetrail-serving/src/gateway/submit/resubmission.rs
@@ -7,7 +7,7 @@
 use crate::context::NodeContext;
 use crate::events::{self, Event};
 use crate::gateway::batch_lookup::RETRY_AFTER;
-use crate::gateway::message::{CallerResponse, empty_response};
+use crate::gateway::response::{CallerResponse, empty_response};
 use crate::telemetry;
 use http::StatusCode;
 use sloetrail_batch::{BatchHeader, is_usable_id};
--- a/crates/sloetrail-serving/src/lib.rs
+++ b/crates/sloetrail-serving/src/lib.rs
@@ -45,7 +45,6 @@
 mod service_pools;
 pub mod settings;
 mod slot_waiter;
-mod slot_waiter;
 mod supervisor;
 pub mod table;
 pub mod table_client;
--- a/crates/sloetrail-serving/src/quarantine/operator.rs
+++ b/crates/sloetrail-serving/src/quarantine/operator.rs
@@ -1,7 +1,7 @@
 //! What an operator sees of the quarantine, and how a request is released.
 
 use super::Quarantine;
-use crate::gateway::message::{CallerResponse, empty_response, full_body};
+use crate::gateway::response::{CallerResponse, empty_response, full_body};
 use http::{Method, Response, StatusCode};
 use serde::Serialize;
 use sloetrail_quarantine::RequestDigest;
--- a/crates/sloetrail-serving/src/relay/server.rs
+++ b/crates/sloetrail-serving/src/relay/server.rs
@@ -5,7 +5,7 @@
     TableCall, decode, encode,
 };
 use super::peers::Peers;
-use crate::gateway::message::{CallerResponse, empty_response, full_body};
+use crate::gateway::response::{CallerResponse, empty_response, full_body};
 use crate::http::{ConnectionTracker, ListenerSettings, serve_connections};
 use crate::settings::ServingSettings;
 use crate::table::Table;
--- a/crates/sloetrail-serving/src/service_pools.rs
+++ b/crates/sloetrail-serving/src/service_pools.rs
@@ -12,7 +12,6 @@
 use crate::relay::peers::Peers;
 use crate::settings::ServingSettings;
 use crate::slot_waiter::{ServiceSlotQueue, SlotWaiter};
-use crate::slot_waiter::{ServiceSlotQueue, SlotWaiter};
 use crate::zone_work::{RunningInZone, WorkKind, ZoneWork};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
--- a/crates/sloetrail-serving/src/service_pools/state.rs
+++ b/crates/sloetrail-serving/src/service_pools/state.rs
@@ -9,7 +9,6 @@
 use crate::relay::peers::Peers;
 use crate::settings::ColdTolerance;
 use crate::slot_waiter::{ServiceSlotQueue, SlotWaiter};
-use crate::slot_waiter::{ServiceSlotQueue, SlotWaiter};
 use rand::rngs::StdRng;
 use sloetrail_balance::{
     AttemptOutcome, Balancer, BalancerSettings, ColdBudget, ColdEngine, EngineReport,
