--- a/crates/sloetrail-balance/src/balancer.rs
+++ b/crates/sloetrail-balance/src/balancer.rs
@@ -59,7 +59,7 @@
     pub node: String,
     /// Zone of this node and the regions of all zones.
     pub topology: Topology,
-    /// Age of the last confirmation from which an engine is no longer picked.
+    /// Maximum age of an engine's last confirmation for it to be picked.
     pub view_freshness: Duration,
     /// Maximum number of this node's concurrent requests at one engine.
     pub engine_concurrency: usize,
--- a/crates/sloetrail-balance/src/tests/slot_queue.rs
+++ b/crates/sloetrail-balance/src/tests/slot_queue.rs
@@ -65,14 +65,14 @@
 #[test]
 fn oldest_request_goes_first_without_tenants() {
     let mut queue = SlotQueue::default();
-    let untenanted = SlotRequest {
+    let without_tenant = SlotRequest {
         tenant: None,
         ..request("-", 5)
     };
-    let tickets = [(); 3].map(|()| join(&mut queue, &untenanted));
-    let known = tickets.map(|ticket| (ticket, &untenanted));
+    let tickets = [(); 3].map(|()| join(&mut queue, &without_tenant));
+    let known = tickets.map(|ticket| (ticket, &without_tenant));
     assert_eq!(drain(&mut queue, &known), tickets);
-    assert_eq!(queue.requests_ahead(&untenanted, None), 0);
+    assert_eq!(queue.requests_ahead(&without_tenant, None), 0);
 }
 
 #[test]
@@ -168,16 +168,16 @@
 fn counting_requests_ahead_is_fast_in_a_long_queue() {
     const WAITING: usize = 10_000;
     let mut queue = SlotQueue::default();
-    let untenanted = SlotRequest {
+    let without_tenant = SlotRequest {
         tenant: None,
         ..request("-", 5)
     };
     let tickets: Vec<SlotTicket> = (0..WAITING)
-        .map(|_| join(&mut queue, &untenanted))
+        .map(|_| join(&mut queue, &without_tenant))
         .collect();
     let began = Instant::now();
     for ticket in tickets {
-        assert_eq!(queue.requests_ahead(&untenanted, Some(ticket)), 0);
+        assert_eq!(queue.requests_ahead(&without_tenant, Some(ticket)), 0);
     }
     let elapsed = began.elapsed();
     assert!(elapsed < Duration::from_secs(1), "{elapsed:?}");
--- a/crates/sloetrail-routing/src/configuration.rs
+++ b/crates/sloetrail-routing/src/configuration.rs
@@ -140,7 +140,7 @@
     }
 }
 
-/// A whole configuration that has passed validation.
+/// A complete, validated configuration.
 #[derive(Clone, Debug)]
 pub struct ServingConfiguration {
     /// Increases with each configuration.
--- a/crates/sloetrail-routing/src/raw.rs
+++ b/crates/sloetrail-routing/src/raw.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// A whole configuration. It does not implement `Debug`, which would expose API keys.
+/// A complete configuration. It does not implement `Debug`, which would expose API keys.
 #[derive(Clone, Deserialize)]
 pub struct RawConfiguration {
     /// Increases with each configuration, not necessarily by one.
