--- a/crates/sloetrail-serving/src/back_end.rs
+++ b/crates/sloetrail-serving/src/back_end.rs
@@ -27,7 +27,7 @@
     /// True if it takes no new work.
     pub draining: bool,
     /// How much longer it was cold when it wrote its row; zero once it is warm.
-    pub cold_left: Duration,
+    pub cold_remaining: Duration,
     /// The version of each model's weights that it uses.
     pub versions: BTreeMap<String, WeightVersion>,
     /// The version of its software, if it tells one.
@@ -48,7 +48,7 @@
     ///
     /// If a figure is out of range.
     pub fn checked(self) -> Result<Self, DialectError> {
-        let is_sound = (1..=SLOTS_MOST).contains(&self.slots) && self.cold_left <= COLD_MOST;
+        let is_sound = (1..=SLOTS_MOST).contains(&self.slots) && self.cold_remaining <= COLD_MOST;
         match is_sound {
             true => Ok(self),
             false => Err(DialectError {
--- a/crates/sloetrail-serving/src/directory/tests.rs
+++ b/crates/sloetrail-serving/src/directory/tests.rs
@@ -57,7 +57,7 @@
 }
 
 /// How much longer the back end is cold.
-fn cold_left(directory: &Directory, evacuations: &Evacuations) -> Option<Duration> {
+fn cold_remaining(directory: &Directory, evacuations: &Evacuations) -> Option<Duration> {
     let back_end = &directory.back_ends[&EngineId::from("e1")];
     let until = directory.cold_until(back_end, evacuations, LASTS)?;
     Some(until - BootInstant::now())
@@ -67,15 +67,15 @@
 async fn a_row_that_is_read_again_unchanged_does_not_begin_the_time_anew() {
     let none = Evacuations::default();
     let first = read(&Directory::default(), &table(1, 3_000));
-    assert_eq!(cold_left(&first, &none), Some(milliseconds(3_000)));
+    assert_eq!(cold_remaining(&first, &none), Some(milliseconds(3_000)));
     assert_eq!(first.cold_count(BootInstant::now()), 1);
     advance(milliseconds(1_000)).await;
     let mut later = table(1, 3_000);
     later.version = RowVersion(9);
     let again = read(&first, &later);
-    assert_eq!(cold_left(&again, &none), Some(milliseconds(2_000)));
+    assert_eq!(cold_remaining(&again, &none), Some(milliseconds(2_000)));
     advance(milliseconds(2_000)).await;
-    assert_eq!(cold_left(&again, &none), None);
+    assert_eq!(cold_remaining(&again, &none), None);
     assert_eq!(again.cold_count(BootInstant::now()), 0);
 }
 
@@ -84,24 +84,24 @@
     let none = Evacuations::default();
     let cold = read(&Directory::default(), &table(1, 3_000));
     let warm = read(&cold, &table(2, 0));
-    assert_eq!(cold_left(&warm, &none), None);
+    assert_eq!(cold_remaining(&warm, &none), None);
     let again = read(&warm, &table(3, 2_500));
-    assert_eq!(cold_left(&again, &none), Some(milliseconds(2_500)));
+    assert_eq!(cold_remaining(&again, &none), Some(milliseconds(2_500)));
     let relisted = read(&read(&again, &empty(4)), &table(5, 2_000));
-    assert_eq!(cold_left(&relisted, &none), Some(milliseconds(2_000)));
+    assert_eq!(cold_remaining(&relisted, &none), Some(milliseconds(2_000)));
 }
 
 #[tokio::test(start_paused = true)]
 async fn after_a_withdrawal_back_ends_of_the_zone_count_as_cold_for_as_long_as_a_start() {
     let warm = read(&Directory::default(), &table(1, 0));
     let of_zone = withdrawn("north");
-    assert_eq!(cold_left(&warm, &of_zone), Some(LASTS));
-    assert_eq!(cold_left(&warm, &withdrawn("south")), None);
+    assert_eq!(cold_remaining(&warm, &of_zone), Some(LASTS));
+    assert_eq!(cold_remaining(&warm, &withdrawn("south")), None);
     let cold = read(&warm, &table(2, 6_000));
-    let longer = cold_left(&cold, &of_zone);
+    let longer = cold_remaining(&cold, &of_zone);
     assert_eq!(longer, Some(milliseconds(6_000)), "the later end counts");
     advance(LASTS).await;
-    assert_eq!(cold_left(&warm, &of_zone), None);
+    assert_eq!(cold_remaining(&warm, &of_zone), None);
 }
 
 /// The table with one back end of a life that began at this time.
@@ -203,7 +203,7 @@
 #[tokio::test(start_paused = true)]
 async fn another_part_of_an_unchanged_table_is_passed_on() {
     let part =
-        DirectoryIndex::of_keys(["e1".to_owned(), "e2".to_owned()].iter()).ranges_for("n", 1);
+        DirectoryIndex::from_keys(["e1".to_owned(), "e2".to_owned()].iter()).ranges_for("n", 1);
     assert!(!part.is_whole());
     let view = |ranges: KeyRanges| Arc::new(TableView { ranges, ..empty(7) });
     let (sender, receiver) = watch::channel(Arc::new(TableView::empty()));
--- a/crates/sloetrail-serving/src/directory_interest.rs
+++ b/crates/sloetrail-serving/src/directory_interest.rs
@@ -32,13 +32,13 @@
 
 /// How many rows of the directory a node wants.
 #[derive(Debug)]
-pub(crate) struct DirectoryInterest {
+pub(crate) struct SubsetDemand {
     wanted: watch::Sender<usize>,
     /// How many were wanted when the directory was read last.
     granted: AtomicUsize,
 }
 
-impl Default for DirectoryInterest {
+impl Default for SubsetDemand {
     fn default() -> Self {
         let (wanted, _) = watch::channel(ROWS_AT_FIRST);
         Self {
@@ -48,21 +48,21 @@
     }
 }
 
-impl DirectoryInterest {
+impl SubsetDemand {
     /// How many rows are wanted, whenever that changes.
     pub(crate) fn wanted(&self) -> watch::Receiver<usize> {
         self.wanted.subscribe()
     }
 
     /// Every back end is wanted from now on.
-    pub(crate) fn want_all(&self) {
+    pub(crate) fn demand_all(&self) {
         self.wanted
             .send_if_modified(|wanted| std::mem::replace(wanted, ALL) != ALL);
     }
 
     /// More are wanted than there are. Asked again before the directory has been read, it
     /// changes nothing.
-    pub(crate) fn want_more(&self) {
+    pub(crate) fn demand_more(&self) {
         let granted = self.granted.load(Ordering::Relaxed);
         self.wanted.send_if_modified(|wanted| {
             let was_read = granted >= *wanted && *wanted != ALL;
@@ -81,8 +81,8 @@
 }
 
 /// Wants more of the directory while a service has too few back ends in the part that is held.
-pub(crate) fn keep_enough(
-    interest: Arc<DirectoryInterest>,
+pub(crate) fn watch_subset_coverage(
+    interest: Arc<SubsetDemand>,
     topology: Topology,
     mut directory: watch::Receiver<Arc<Directory>>,
     mut in_force: watch::Receiver<Arc<InForce>>,
@@ -101,7 +101,7 @@
             let has_enough = held.is_whole
                 || configuration.is_none_or(|known| has_enough(&held, &known, &topology));
             if !has_enough {
-                interest.want_more();
+                interest.demand_more();
             }
         }
     });
--- a/crates/sloetrail-serving/src/gateway/claims/sweep.rs
+++ b/crates/sloetrail-serving/src/gateway/claims/sweep.rs
@@ -4,7 +4,7 @@
 //! answers of back ends that must not leave their regions.
 
 use crate::events::{self, Event};
-use crate::follow::{FleetSize, Pacing};
+use crate::follow::{FleetSize, FleetScaledDuration};
 use crate::rows;
 use crate::table::{Commit, Row, Table, Transaction};
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 
 /// Deletes expired claims at intervals. Never returns.
 pub(crate) async fn run_sweeper(table: Arc<dyn Table>, fleet: FleetSize) {
-    let interval = Pacing::growing(
+    let interval = FleetScaledDuration::scaled(
         &fleet,
         MIN_SWEEP_INTERVAL,
         SWEEP_INTERVAL_PER_BACK_END,
--- a/crates/sloetrail-serving/src/lib.rs
+++ b/crates/sloetrail-serving/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod dialect;
 pub mod directory;
 mod directory_index;
-mod directory_interest;
+mod subset_demand;
 mod ended_incarnations;
 pub mod engine_supply;
 mod event_stream;
--- a/crates/sloetrail-serving/src/owner/engines/tests.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests.rs
@@ -8,7 +8,7 @@
 use crate::back_end::BackEnd;
 use crate::directory::Directory;
 use crate::owner::assignment::ModelShare;
-use crate::owner::engine::Demand;
+use crate::owner::engine::ModelRequirement;
 use crate::owner::rollout_plan::ModelTarget;
 use sloetrail_types::{EngineId, ServiceName, WeightVersion, ZoneName};
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
         zone: ZoneName::from("z"),
         slots: 8,
         draining: draining.contains(&number),
-        cold_left: Duration::ZERO,
+        cold_remaining: Duration::ZERO,
         versions: MODELS
             .iter()
             .map(|model| ((*model).to_owned(), WeightVersion(1)))
@@ -60,7 +60,7 @@
 
 fn pool(engines: usize) -> EnginePool {
     let mut pool = EnginePool::default();
-    pool.take_directory(&directory(engines, &[]), &ServiceName::from("models"));
+    pool.apply_directory(&directory(engines, &[]), &ServiceName::from("models"));
     pool.assign(&models());
     pool
 }
@@ -87,8 +87,8 @@
     false
 }
 
-fn any_item<'a>() -> Demand<'a> {
-    Demand {
+fn any_item<'a>() -> ModelRequirement<'a> {
+    ModelRequirement {
         model: None,
         oldest_version: WeightVersion(0),
     }
--- a/crates/sloetrail-serving/src/owner/engines/tests/picking.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests/picking.rs
@@ -2,7 +2,7 @@
 
 use super::{FASTEST, any_item, directory, pool, set_pace, unconnected};
 use crate::back_end::BackEnd;
-use crate::owner::engine::Demand;
+use crate::owner::engine::ModelRequirement;
 use crate::owner::engines::{EnginePool, EnginePreference};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::{
@@ -20,7 +20,7 @@
     let now = BootInstant::now();
     assert_eq!(pool.pick(any_item(), now, FASTEST, unconnected), Some(fast));
     assert_eq!(
-        pool.pick(any_item(), now, EnginePreference::Emptiest, unconnected),
+        pool.pick(any_item(), now, EnginePreference::LeastLoaded, unconnected),
         Some(slow)
     );
 }
@@ -68,10 +68,10 @@
 fn places_at_engines_that_take_no_work_are_no_places() {
     let mut pool = pool(4);
     let now = BootInstant::now();
-    assert!(pool.has_places(32, now) && !pool.has_places(33, now));
+    assert!(pool.has_slots(32, now) && !pool.has_slots(33, now));
     pool.get_mut(&EngineId::new("e2")).expect("known").lost();
-    pool.take_directory(&directory(4, &[0]), &ServiceName::from("models"));
-    assert!(pool.has_places(16, now) && !pool.has_places(17, now));
+    pool.apply_directory(&directory(4, &[0]), &ServiceName::from("models"));
+    assert!(pool.has_slots(16, now) && !pool.has_slots(17, now));
 }
 
 #[test]
@@ -84,17 +84,17 @@
         pool.get_mut(&id).expect("known").started();
     }
     assert_eq!(pool.free_engines(any_item(), now).len(), 1);
-    pool.get_mut(&id).expect("known").keep_place(now);
+    pool.get_mut(&id).expect("known").reserve_slot(now);
     assert_eq!(pool.pick(any_item(), now, FASTEST, unconnected), None);
     assert!(pool.free_engines(any_item(), now).is_empty());
-    pool.release_place(Some(&id));
+    pool.release_slot(Some(&id));
     assert_eq!(pool.pick(any_item(), now, FASTEST, unconnected), Some(id));
 }
 
 #[test]
 fn an_engine_that_is_too_old_or_changing_takes_nothing() {
     let pool = pool(3);
-    let demand = |oldest: u64| Demand {
+    let demand = |oldest: u64| ModelRequirement {
         model: Some("a"),
         oldest_version: WeightVersion(oldest),
     };
@@ -111,7 +111,7 @@
 #[test]
 fn of_engines_with_as_much_to_do_the_one_that_was_used_last_goes_first() {
     let mut pool = pool(9);
-    let demand = Demand {
+    let demand = ModelRequirement {
         model: Some("a"),
         oldest_version: WeightVersion(1),
     };
@@ -138,10 +138,10 @@
     let north = AllowedRegions::only([RegionName::from("north")]);
     let service = ServiceName::from("models");
     let mut bound = EnginePool::within(topology.clone(), north);
-    bound.take_directory(&directory, &service);
+    bound.apply_directory(&directory, &service);
     assert_eq!(bound.len(), 2);
     assert!(bound.get(&elsewhere).is_none());
     let mut unbound = EnginePool::within(topology, AllowedRegions::everywhere());
-    unbound.take_directory(&directory, &service);
+    unbound.apply_directory(&directory, &service);
     assert_eq!(unbound.len(), 3);
 }
--- a/crates/sloetrail-serving/src/owner/mod.rs
+++ b/crates/sloetrail-serving/src/owner/mod.rs
@@ -9,7 +9,7 @@
 //! report their slot demand to it ([`place_demand`]).
 
 mod assignment;
-mod batch_turns;
+mod batch_scheduler;
 mod committer;
 mod engine;
 mod engine_sends;
--- a/crates/sloetrail-serving/src/owner/run.rs
+++ b/crates/sloetrail-serving/src/owner/run.rs
@@ -1,7 +1,7 @@
 //! One run of an item at an engine.
 
 use super::engine_sends::EngineSends;
-use super::pace::PaceMeter;
+use super::pace::EventIntervalMeter;
 use crate::back_end::BackEnd;
 use crate::context::NodeContext;
 use crate::ended_incarnations::wait_until_ended;
@@ -44,9 +44,9 @@
     pub(super) priority: u8,
     /// What the owner has sent the engine, and how much of it may be sent again.
     pub(super) sends: Arc<EngineSends>,
-    pub(super) repeat_bound: Option<SendBound>,
+    pub(super) resend_bound: Option<SendBound>,
     pub(super) passage: Passage,
-    pub(super) pace: Arc<PaceMeter>,
+    pub(super) pace: Arc<EventIntervalMeter>,
     pub(super) progress: Arc<RunProgress>,
     pub(super) cancel: CancellationToken,
 }
@@ -235,10 +235,10 @@
     fn may_send_again(&self) -> bool {
         let RunSpec {
             sends,
-            repeat_bound,
+            resend_bound,
             ..
         } = &self.spec;
-        sends.note_within(BootInstant::now(), *repeat_bound)
+        sends.try_record(BootInstant::now(), *resend_bound)
     }
 
     async fn send(
@@ -357,14 +357,14 @@
             number,
             data,
             version,
-            engine: self.told_engine(),
+            engine: self.reported_engine(),
         };
         state.transcript.push(event).is_ok()
     }
 
     /// The engine under its own name, if readers are told which one made what: they know it by
     /// that, whatever life of it made the event.
-    fn told_engine(&self) -> Option<EngineId> {
+    fn reported_engine(&self) -> Option<EngineId> {
         let tells_segments = self.spec.context.dialect.tells_segments();
         tells_segments.then(|| EngineId::new(&self.spec.back_end.instance))
     }
--- a/crates/sloetrail-serving/src/owner/service_owner.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner.rs
@@ -16,7 +16,7 @@
 use self::quarantined_items::QuarantinedItems;
 use self::supply::SupplyState;
 use super::committer::{CommitRequest, commit_results};
-use super::engine::Sparing;
+use super::engine::SendLimits;
 use super::engines::EnginePool;
 use super::event::OwnerEvent;
 use super::item_timeline::ItemTimeline;
@@ -27,7 +27,7 @@
 use super::run::RunProgress;
 use super::sweeper;
 use crate::context::NodeContext;
-use crate::follow::{FollowPace, ViewReceiver, follow};
+use crate::follow::{PollTiming, ViewReceiver, follow};
 use crate::leases::{BatchSet, OrderWindow, Term};
 use crate::rows;
 use sloetrail_balance::TenantShares;
@@ -273,13 +273,13 @@
             source,
             table,
             rows::CALLERS,
-            FollowPace::with_pause(VIEW_POLL_DELAY),
+            PollTiming::with_delay(VIEW_POLL_DELAY),
         )
     }
 
     fn apply_directory(&mut self) {
         let directory = self.context.directory.borrow().clone();
-        self.engines.take_directory(&directory, &self.service);
+        self.engines.apply_directory(&directory, &self.service);
         self.refresh_send_limits();
         self.assign_models();
     }
@@ -300,7 +300,7 @@
             let region = settings.topology.region_of(zone);
             budgets.as_ref().map(|budgets| budgets.of_region(region))
         };
-        self.engines.set_sparing(|back_end| Sparing {
+        self.engines.set_send_limits(|back_end| SendLimits {
             evacuated: evacuations.covers(&back_end.zone),
             cold_until: directory.cold_until(back_end, evacuations, cold_duration),
             budget: budget(&back_end.zone),
@@ -358,7 +358,7 @@
         self.set_dispatch_orders();
         self.update_estimates();
         let slow_apart = self.context.settings.policies.slow_engines_apart;
-        if slow_apart && self.engines.judge_paces() {
+        if slow_apart && self.engines.update_slow_engines() {
             self.assign_models();
         }
         self.move_from_slow_engines(now);
@@ -392,12 +392,12 @@
                 items.at_a_time += of_batch.at_a_time;
             }
             at_a_time += items.at_a_time;
-            let slots = self.engines.places_of(&model);
+            let slots = self.engines.slots_for_model(&model);
             self.usage.note(&model, items, slots);
         }
         let enough = at_a_time * SLOTS_PER_ITEM;
-        if !self.engines.has_places(enough, BootInstant::now()) {
-            self.context.directory_interest.want_more();
+        if !self.engines.has_slots(enough, BootInstant::now()) {
+            self.context.subset_demand.demand_more();
         }
     }
 
@@ -414,7 +414,7 @@
         }
         let engines = &self.engines;
         let is_plentiful = |(model, items): (&Option<String>, &usize)| {
-            let slots = model.as_deref().map_or(0, |model| engines.places_of(model));
+            let slots = model.as_deref().map_or(0, |model| engines.slots_for_model(model));
             (model.clone(), items * MIN_PLENTIFUL_SLOTS_PER_ITEM <= slots)
         };
         let plentiful: BTreeMap<Option<String>, bool> = items.iter().map(is_plentiful).collect();
--- a/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
@@ -3,8 +3,8 @@
 use super::{ActiveRun, OpenBatch, ServiceOwner};
 use crate::back_end::BackEnd;
 use crate::events::{self, Event};
-use crate::owner::batch_turns::BatchTurns;
-use crate::owner::engine::Demand;
+use crate::owner::batch_scheduler::BatchScheduler;
+use crate::owner::engine::ModelRequirement;
 use crate::owner::engines::EnginePreference;
 use crate::owner::event::OwnerEvent;
 use crate::owner::run::{RunProgress, RunSpec, run_item};
@@ -36,7 +36,7 @@
         for required in [true, false] {
             let open = self.batches.iter();
             let headers = open.map(|(id, open)| (id, &open.batch.header));
-            let turns = BatchTurns::new(&mut shares, headers);
+            let turns = BatchScheduler::new(&mut shares, headers);
             turns.run(|id| self.start_next_item(id, required));
         }
         if self.batches.is_empty() {
@@ -68,7 +68,7 @@
         if next.is_none_or(|index| open.batch.is_wanted(index) != required) {
             return false;
         }
-        let demand = Demand {
+        let demand = ModelRequirement {
             model: open.batch.model.as_deref(),
             oldest_version: open.batch.oldest_version,
         };
@@ -89,7 +89,7 @@
         let item = index.map(|index| open.batch.item(index));
         let is_critical = item.is_some_and(|item| open.estimate.is_deciding(item, &self.lengths));
         match policies.prefer_fast_engines {
-            false => EnginePreference::Emptiest,
+            false => EnginePreference::LeastLoaded,
             true if is_critical || !policies.bounded_batch_width => EnginePreference::Fastest,
             true => EnginePreference::Connected,
         }
@@ -140,7 +140,7 @@
             single_version: open.batch.header.single_version,
             priority,
             sends: engine.sends(),
-            repeat_bound: engine.repeat_bound(),
+            resend_bound: engine.resend_bound(),
             passage,
             pace: Arc::clone(&engine.pace),
             progress: Arc::clone(&run.progress),
--- a/crates/sloetrail-serving/src/owner/service_owner/results.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/results.rs
@@ -42,7 +42,7 @@
         if outcome == RunOutcome::Whole {
             let hint = open.batch.item(index).expected_length;
             self.lengths.note(hint, transcript.len());
-            self.engines.release_place(move_target.as_ref());
+            self.engines.release_slot(move_target.as_ref());
             timeline.text_completed(BootInstant::now());
             open.batch.text_is_whole(index, transcript);
             self.enqueue_scoring(id, index);
@@ -80,7 +80,7 @@
         }
         match (death, move_target) {
             (Some(cause), move_target) => {
-                self.engines.release_place(move_target.as_ref());
+                self.engines.release_slot(move_target.as_ref());
                 self.list_as_dead(id, index, cause);
             }
             (None, Some(engine)) => self.resume_at(id, index, engine),
@@ -185,7 +185,7 @@
         let groups = open.batch.groups();
         let timeline = open.timelines.get(&last).cloned().unwrap_or_default();
         let times = timeline.times(open.opened_at, now);
-        let event_interval_us = self.engines.fastest_pace().unwrap_or_default();
+        let event_interval_us = self.engines.min_event_interval_us().unwrap_or_default();
         let min_time =
             Duration::from_micros(event_interval_us.saturating_mul(groups.longest() as u64));
         let age = open.age_at_open + now.saturating_duration_since(open.opened_at);
--- a/crates/sloetrail-serving/src/owner/service_owner/supply.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/supply.rs
@@ -106,8 +106,8 @@
             return;
         };
         // A subset of the directory would give a wrong count, and the baseline is stored for good.
-        if !self.context.directory.borrow().is_whole {
-            self.context.directory_interest.want_all();
+        if !self.context.directory.borrow().covers_all {
+            self.context.subset_demand.demand_all();
             return;
         }
         let now = self.supply.now();
--- a/crates/sloetrail-serving/src/service_pools.rs
+++ b/crates/sloetrail-serving/src/service_pools.rs
@@ -5,7 +5,7 @@
 use self::state::{State, live_demand};
 use crate::back_end::BackEnd;
 use crate::directory::Directory;
-use crate::directory_interest::DirectoryInterest;
+use crate::subset_demand::SubsetDemand;
 use crate::gateway::slot_wait::SlotWaitEstimate;
 use crate::leases::LeasedSets;
 use crate::operator::InForce;
@@ -33,7 +33,7 @@
     origin: BootInstant,
     zone_work: Arc<ZoneWork>,
     /// Told when none of the back ends that are held has a place.
-    interest: Arc<DirectoryInterest>,
+    interest: Arc<SubsetDemand>,
     state: Mutex<State>,
 }
 
@@ -41,7 +41,7 @@
     /// Pools of a node without back ends.
     pub(crate) fn new(
         settings: &ServingSettings,
-        (peers, interest): (Option<Arc<Peers>>, Arc<DirectoryInterest>),
+        (peers, interest): (Option<Arc<Peers>>, Arc<SubsetDemand>),
         zone_work: Arc<ZoneWork>,
         seed: u64,
     ) -> Arc<Self> {
@@ -145,7 +145,7 @@
 
     /// When a request may have a place at a back end in its allowed regions; nothing if none
     /// takes work there.
-    pub(crate) fn place_outlook(&self, seeker: &SlotWaiter) -> Option<SlotWaitEstimate> {
+    pub(crate) fn slot_wait_estimate(&self, seeker: &SlotWaiter) -> Option<SlotWaitEstimate> {
         let (service, regions) = (seeker.service(), &seeker.request().regions);
         let now = self.now();
         let state = self.state.lock().expect("not poisoned");
@@ -177,7 +177,7 @@
     /// How many requests this node may have at a time at the back ends of a service in the
     /// allowed regions, beside what is kept for callers' requests. Those that are left alone
     /// after a loss or a refusal do not count.
-    pub(crate) fn places_beside_callers(
+    pub(crate) fn sample_slots(
         &self,
         service: &ServiceName,
         regions: &AllowedRegions,
@@ -215,7 +215,7 @@
         let regions = &seeker.request().regions;
         let chosen = balancer.choose(now, random, live_demand(excluded, regions));
         let Some(id) = chosen else {
-            self.interest.want_more();
+            self.interest.demand_more();
             return None;
         };
         let back_end = directory.back_ends.get(&id).cloned();
@@ -236,7 +236,7 @@
     }
 
     /// Works on the queue of those that wait for a place at a service.
-    pub(crate) fn with_turns<Outcome>(
+    pub(crate) fn with_slot_queue<Outcome>(
         &self,
         service: &ServiceName,
         work: impl FnOnce(&mut ServiceSlotQueue) -> Outcome,
@@ -247,7 +247,7 @@
 
     /// A request ended without ever having had a place. One that no back end may serve says
     /// nothing of how the places that there are were shared out.
-    pub(crate) fn note_missed(&self, seeker: &SlotWaiter) {
+    pub(crate) fn record_unserved(&self, seeker: &SlotWaiter) {
         let (service, regions) = (seeker.service(), &seeker.request().regions);
         let now = self.now();
         let mut state = self.state.lock().expect("not poisoned");
