--- a/crates/sloetrail-serving/src/cold_budgets/tests.rs
+++ b/crates/sloetrail-serving/src/cold_budgets/tests.rs
@@ -55,11 +55,11 @@
         version: RowVersion(1),
     };
     let leases = TableView {
-        ranges: KeyRanges::whole(),
+        ranges: KeyRanges::all_keys(),
         rows: [(address.key, row)].into(),
         version: RowVersion(1),
         confirmed_at: None,
-        asked_at: None,
+        requested_at: None,
         interruptions: 0,
     };
     let ways = |leased: &LeasedSets, region: &str| {
--- a/crates/sloetrail-serving/src/context.rs
+++ b/crates/sloetrail-serving/src/context.rs
@@ -3,10 +3,9 @@
 use crate::back_end_connections::BackEndConnections;
 use crate::dialect::Dialect;
 use crate::directory::Directory;
-use crate::directory_interest::DirectoryInterest;
 use crate::ended_lives::EndedReceiver;
 use crate::engine_supply::EngineSupply;
-use crate::follow::{FleetSize, FollowPace, TakenIn, ViewReceiver};
+use crate::follow::{FleetSize, LastApplied, PollTiming, ViewReceiver};
 use crate::gateway::claims::Claims;
 use crate::leases::LeasedSets;
 use crate::operator::InForce;
@@ -15,6 +14,7 @@
 use crate::relay::peers::Peers;
 use crate::service_pools::ServicePools;
 use crate::settings::ServingSettings;
+use crate::subset_demand::SubsetDemand;
 use crate::table::Table;
 use crate::usage::NodeUsage;
 use crate::zone_work::ZoneWork;
@@ -36,17 +36,17 @@
     pub(crate) in_force: watch::Receiver<Arc<InForce>>,
     pub(crate) directory: watch::Receiver<Arc<Directory>>,
     /// When the directory and the operator's rows were asked for that are in force.
-    pub(crate) directory_taken_in: TakenIn,
-    pub(crate) operator_taken_in: TakenIn,
+    pub(crate) directory_taken_in: LastApplied,
+    pub(crate) operator_taken_in: LastApplied,
     /// How much of the directory this node wants to hold.
-    pub(crate) directory_interest: Arc<DirectoryInterest>,
+    pub(crate) subset_demand: Arc<SubsetDemand>,
     /// Lives of back ends after which another one began.
     pub(crate) ended_lives: EndedReceiver,
     pub(crate) leases: ViewReceiver,
     /// Sets of bound batches that have, or had, an owner.
     pub(crate) leased_sets: watch::Receiver<Arc<LeasedSets>>,
     /// How often the leases are asked for.
-    pub(crate) lease_pace: FollowPace,
+    pub(crate) lease_pace: PollTiming,
     pub(crate) fleet: FleetSize,
     /// What runs at back ends, by zone.
     pub(crate) zone_work: Arc<ZoneWork>,
--- a/crates/sloetrail-serving/src/directory.rs
+++ b/crates/sloetrail-serving/src/directory.rs
@@ -5,7 +5,7 @@
 use crate::directory_index::KeyRanges;
 use crate::ended_lives::{EndedLives, LifeEnd};
 use crate::events::{self, Event};
-use crate::follow::{FleetSize, TableView, TakenIn, ViewReceiver};
+use crate::follow::{FleetSize, LastApplied, TableView, ViewReceiver};
 use crate::operator::Evacuations;
 use crate::table::Row;
 use sloetrail_clock::BootInstant;
@@ -33,11 +33,11 @@
     /// The version up to which changes are taken in.
     pub version: RowVersion,
     /// True if no back end is left out that the table lists.
-    pub(crate) is_whole: bool,
+    pub(crate) covers_all: bool,
     /// Which part of the directory it is; nothing before it was read.
     ranges: Option<KeyRanges>,
     /// How many rows the table has, as far as the part that is held tells.
-    pub(crate) rows_in_all: usize,
+    pub(crate) total_rows: usize,
     /// Until when back ends are cold that said so.
     cold_until: BTreeMap<EngineId, BootInstant>,
     /// The rows by their keys. One that cannot be read is not read again until it changes. They are
@@ -90,9 +90,9 @@
     fn updated(&self, view: &TableView, dialect: &dyn Dialect) -> Self {
         let mut next = Self {
             version: view.version,
-            is_whole: view.ranges.is_whole(),
+            covers_all: view.ranges.covers_all(),
             ranges: Some(view.ranges.clone()),
-            rows_in_all: view.ranges.rows_in_all(view.rows.len()),
+            total_rows: view.ranges.total_rows(view.rows.len()),
             ended: Arc::clone(&self.ended),
             ..Self::default()
         };
@@ -204,9 +204,9 @@
     mut view: ViewReceiver,
     dialect: Arc<dyn Dialect>,
     fleet: FleetSize,
-) -> (watch::Receiver<Arc<Directory>>, TakenIn) {
+) -> (watch::Receiver<Arc<Directory>>, LastApplied) {
     let (sender, receiver) = watch::channel(Arc::new(Directory::default()));
-    let (taken_in, taken_in_at) = watch::channel(view.borrow().asked_at);
+    let (taken_in, taken_in_at) = watch::channel(view.borrow().requested_at);
     tokio::spawn(async move {
         while view.changed().await.is_ok() && !sender.is_closed() {
             let table = view.borrow_and_update().clone();
@@ -216,10 +216,10 @@
             if table.version != current.version || has_other_part {
                 let next = current.updated(&table, &*dialect);
                 log_differences(&current, &next);
-                fleet.set_back_ends(next.rows_in_all);
+                fleet.set_back_ends(next.total_rows);
                 sender.send_replace(Arc::new(next));
             }
-            taken_in.send_replace(table.asked_at);
+            taken_in.send_replace(table.requested_at);
         }
     });
     (receiver, taken_in_at)
--- a/crates/sloetrail-serving/src/directory/tests.rs
+++ b/crates/sloetrail-serving/src/directory/tests.rs
@@ -203,16 +203,16 @@
 #[tokio::test(start_paused = true)]
 async fn another_part_of_an_unchanged_table_is_passed_on() {
     let part =
-        DirectoryIndex::of_keys(["e1".to_owned(), "e2".to_owned()].iter()).ranges_for("n", 1);
-    assert!(!part.is_whole());
+        DirectoryIndex::from_keys(["e1".to_owned(), "e2".to_owned()].iter()).ranges_for("n", 1);
+    assert!(!part.covers_all());
     let view = |ranges: KeyRanges| Arc::new(TableView { ranges, ..empty(7) });
     let (sender, receiver) = watch::channel(Arc::new(TableView::empty()));
     let dialect = Arc::new(NativeDialect::default());
     let (mut directory, _taken_in) = watch_directory(receiver, dialect, FleetSize::default());
-    for ranges in [part, KeyRanges::whole()] {
-        let is_whole = ranges.is_whole();
+    for ranges in [part, KeyRanges::all_keys()] {
+        let covers_all = ranges.covers_all();
         sender.send_replace(view(ranges));
         directory.changed().await.expect("it is told");
-        assert_eq!(directory.borrow_and_update().is_whole, is_whole);
+        assert_eq!(directory.borrow_and_update().covers_all, covers_all);
     }
 }
--- a/crates/sloetrail-serving/src/directory_index.rs
+++ b/crates/sloetrail-serving/src/directory_index.rs
@@ -31,7 +31,7 @@
 
 impl DirectoryIndex {
     /// The index of a directory with these keys, which rise.
-    pub(crate) fn of_keys<'a>(keys: impl ExactSizeIterator<Item = &'a String>) -> Self {
+    pub(crate) fn from_keys<'a>(keys: impl ExactSizeIterator<Item = &'a String>) -> Self {
         let rows = keys.len();
         let range_rows = rows.div_ceil(RANGES_MOST).max(1);
         let starts = keys.step_by(range_rows).skip(1);
@@ -108,7 +108,7 @@
 
 impl KeyRanges {
     /// Every key.
-    pub(crate) fn whole() -> Self {
+    pub(crate) fn all_keys() -> Self {
         Self {
             spans: vec![KeySpan {
                 from: String::new(),
@@ -119,7 +119,7 @@
     }
 
     /// True if every key is held.
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn covers_all(&self) -> bool {
         self.spans.len() >= self.of
     }
 
@@ -131,7 +131,7 @@
 
     /// As many of these ranges as hold so many rows, if they hold `held` together; a node
     /// always leaves out the same ones.
-    pub(crate) fn cut_down(&self, node: &str, wanted: usize, held: usize) -> Self {
+    pub(crate) fn truncated(&self, node: &str, wanted: usize, held: usize) -> Self {
         let per_range = held.div_ceil(self.spans.len().max(1)).max(1);
         let mut spans = self.spans.clone();
         spans.sort_by_key(|span| Reverse(rendezvous_weight(node, &span.from)));
@@ -141,7 +141,7 @@
     }
 
     /// How many rows there are in all, if so many are held.
-    pub(crate) fn rows_in_all(&self, held: usize) -> usize {
+    pub(crate) fn total_rows(&self, held: usize) -> usize {
         match self.spans.is_empty() {
             true => held,
             false => held * self.of / self.spans.len(),
@@ -149,7 +149,7 @@
     }
 
     /// The ranges of a table's empty partition.
-    pub(crate) fn of_table(&self, table: &str) -> impl Iterator<Item = KeyRange> {
+    pub(crate) fn in_table(&self, table: &str) -> impl Iterator<Item = KeyRange> {
         self.spans.iter().map(move |span| KeyRange {
             from: span.from.clone(),
             to: span.to.clone(),
--- a/crates/sloetrail-serving/src/directory_index/tests.rs
+++ b/crates/sloetrail-serving/src/directory_index/tests.rs
@@ -19,12 +19,12 @@
 fn a_node_holds_as_much_of_a_large_directory_as_of_a_small_one() {
     for count in [2_000, 10_000, 20_000, 100_000] {
         let keys = keys(count);
-        let index = DirectoryIndex::of_keys(keys.iter());
+        let index = DirectoryIndex::from_keys(keys.iter());
         let ranges = index.ranges_for("node-7", 600);
         let held = held(&ranges, &keys);
         assert!((500..=1_000).contains(&held), "{held} of {count}");
         assert!(index.encode().len() < 10_000, "{}", index.encode().len());
-        let estimate = ranges.rows_in_all(held);
+        let estimate = ranges.total_rows(held);
         assert!(
             estimate * 10 > count * 9 && estimate * 9 < count * 10,
             "{estimate} of {count}"
@@ -35,7 +35,7 @@
 #[test]
 fn the_ranges_of_all_nodes_spread_over_all_back_ends() {
     let keys = keys(10_000);
-    let index = DirectoryIndex::of_keys(keys.iter());
+    let index = DirectoryIndex::from_keys(keys.iter());
     let mut holders = vec![0; keys.len()];
     for node in 0..500 {
         let ranges = index.ranges_for(&format!("front-{node}"), 600);
@@ -54,7 +54,7 @@
 #[test]
 fn a_node_that_wants_more_keeps_what_it_holds() {
     let keys = keys(10_000);
-    let index = DirectoryIndex::of_keys(keys.iter());
+    let index = DirectoryIndex::from_keys(keys.iter());
     let few = index.ranges_for("node", 600);
     let more = index.ranges_for("node", 1_200);
     assert!(
@@ -62,24 +62,24 @@
             .all(|key| !few.contains(key) || more.contains(key))
     );
     assert!(held(&more, &keys) > held(&few, &keys));
-    assert!(index.ranges_for("node", 10_000).is_whole());
+    assert!(index.ranges_for("node", 10_000).covers_all());
 }
 
 /// Keys that were written since the index was made lie in one range each, wherever they are.
 #[test]
 fn every_key_lies_in_one_range() {
     let listed = keys(3_000);
-    let index = DirectoryIndex::of_keys(listed.iter());
-    let whole = index.ranges_for("node", usize::MAX / 2);
+    let index = DirectoryIndex::from_keys(listed.iter());
+    let all_keys = index.ranges_for("node", usize::MAX / 2);
     let mut others = keys(9_000);
     others.extend(["", "0", "i-", "zzz", "\u{10ffff}"].map(str::to_owned));
-    assert!(whole.is_whole());
-    assert!(others.iter().all(|key| whole.contains(key)));
+    assert!(all_keys.covers_all());
+    assert!(others.iter().all(|key| all_keys.contains(key)));
 }
 
 #[test]
 fn rows_that_are_no_index_are_not_used() {
-    let sound = DirectoryIndex::of_keys(keys(1_000).iter());
+    let sound = DirectoryIndex::from_keys(keys(1_000).iter());
     assert_eq!(DirectoryIndex::decode(&sound.encode()), Some(sound.clone()));
     let torn = &sound.encode()[..40];
     let many: Vec<String> = keys(5_000).into_iter().collect();
@@ -106,6 +106,6 @@
         let ranges = index.ranges_for("node", 600);
         let held = ["a", "h", "z"].iter().filter(|key| ranges.contains(key));
         assert!(held.count() >= 1, "{rows}");
-        let _ = (ranges.rows_in_all(1_000), index.is_outdated(1_000));
+        let _ = (ranges.total_rows(1_000), index.is_outdated(1_000));
     }
 }
--- a/crates/sloetrail-serving/src/follow.rs
+++ b/crates/sloetrail-serving/src/follow.rs
@@ -1,10 +1,10 @@
 //! Following a table: its rows in memory, kept up to date by its changes.
 
-mod held;
-mod pace;
+mod poll_timing;
+mod subset;
 
-pub(crate) use held::HeldReading;
-pub use pace::{FleetSize, FollowPace, FollowPaces, OwnedService, Pacing};
+pub use poll_timing::{FleetScaledDuration, FleetSize, OwnedServiceGuard, PollTiming, PollTimings};
+pub(crate) use subset::SubsetReader;
 
 use crate::directory_index::KeyRanges;
 use crate::events::{self, Event};
@@ -37,7 +37,7 @@
     /// When the table last confirmed the view; nothing before the first time.
     pub confirmed_at: Option<BootInstant>,
     /// When the question was asked that was answered last.
-    pub asked_at: Option<BootInstant>,
+    pub requested_at: Option<BootInstant>,
     /// Grows each time that the table could not be asked.
     pub interruptions: u64,
 }
@@ -47,10 +47,10 @@
     pub(crate) fn empty() -> Self {
         Self {
             rows: BTreeMap::new(),
-            ranges: KeyRanges::whole(),
+            ranges: KeyRanges::all_keys(),
             version: RowVersion(0),
             confirmed_at: None,
-            asked_at: None,
+            requested_at: None,
             interruptions: 0,
         }
     }
@@ -67,14 +67,14 @@
 
 /// When the question was asked whose answer was taken in last. The view itself, if it
 /// were held, would have to be copied at each change.
-pub type TakenIn = watch::Receiver<Option<BootInstant>>;
+pub type LastApplied = watch::Receiver<Option<BootInstant>>;
 
 /// Follows one partition of a table until every receiver is dropped.
 pub fn follow(
     table: Arc<dyn Table>,
     name: impl Into<String>,
     partition: impl Into<String>,
-    pace: FollowPace,
+    pace: PollTiming,
 ) -> ViewReceiver {
     start(table, (name.into(), partition.into()), pace, None)
 }
@@ -83,8 +83,8 @@
 pub(crate) fn follow_directory(
     table: Arc<dyn Table>,
     name: impl Into<String>,
-    pace: FollowPace,
-    held: HeldReading,
+    pace: PollTiming,
+    held: SubsetReader,
 ) -> ViewReceiver {
     start(table, (name.into(), String::new()), pace, Some(held))
 }
@@ -92,8 +92,8 @@
 fn start(
     table: Arc<dyn Table>,
     (name, partition): (String, String),
-    pace: FollowPace,
-    held: Option<HeldReading>,
+    pace: PollTiming,
+    held: Option<SubsetReader>,
 ) -> ViewReceiver {
     let (sender, receiver) = watch::channel(Arc::new(TableView::empty()));
     let follower = Follower {
@@ -122,9 +122,9 @@
     table: Arc<dyn Table>,
     name: String,
     partition: String,
-    pace: FollowPace,
+    pace: PollTiming,
     /// Present if only a part of the rows may be wanted.
-    held: Option<HeldReading>,
+    held: Option<SubsetReader>,
     sender: watch::Sender<Arc<TableView>>,
     interrupted: bool,
     /// So many of the next questions are to be answered at once, with or without changes:
@@ -159,7 +159,7 @@
 
     /// Pauses between two questions. True if the next one must be for all rows that are
     /// wanted.
-    async fn rest(&mut self, held: Option<&mut HeldReading>) -> bool {
+    async fn rest(&mut self, held: Option<&mut SubsetReader>) -> bool {
         let Some(held) = held else {
             self.pause().await;
             return false;
@@ -183,12 +183,13 @@
     /// process or the table stood still, the next question goes out at once, and it and the
     /// one after it are not held open.
     async fn pause(&mut self) {
-        let asked_at = self.sender.borrow().asked_at;
-        let late_from = self.pace.wait.now() + LATE_ANSWER;
-        let mut is_late = asked_at.is_some_and(|asked_at| asked_at.elapsed() > late_from);
+        let requested_at = self.sender.borrow().requested_at;
+        let late_from = self.pace.long_poll_timeout.now() + LATE_ANSWER;
+        let mut is_late =
+            requested_at.is_some_and(|requested_at| requested_at.elapsed() > late_from);
         if !is_late {
             let began = BootInstant::now();
-            let pause = self.pace.pause.now();
+            let pause = self.pace.delay.now();
             tokio::time::sleep(pause).await;
             is_late = began.elapsed() > pause + LATE_ANSWER;
         }
@@ -197,18 +198,18 @@
         }
     }
 
-    async fn read_all(&self, held: Option<&mut HeldReading>) -> Result<Progress, ReadError> {
-        let asked_at = BootInstant::now();
+    async fn read_all(&self, held: Option<&mut SubsetReader>) -> Result<Progress, ReadError> {
+        let requested_at = BootInstant::now();
         let (page, ranges) = match held {
             Some(held) => held.read(&*self.table, &self.name).await?.into_parts(),
             None => {
                 let range = KeyRange::all(&self.name, &self.partition);
                 let page = scan_all(&*self.table, range).await?;
-                (page, KeyRanges::whole())
+                (page, KeyRanges::all_keys())
             }
         };
         let rows = page.rows.into_iter();
-        self.publish(asked_at, |view| {
+        self.publish(requested_at, |view| {
             view.rows = rows.map(|row| (row.address.key.clone(), row)).collect();
             view.ranges = ranges;
             view.version = page.version;
@@ -218,12 +219,12 @@
 
     async fn read_changes(
         &mut self,
-        held: Option<&mut HeldReading>,
+        held: Option<&mut SubsetReader>,
     ) -> Result<Progress, ReadError> {
-        let asked_at = BootInstant::now();
+        let requested_at = BootInstant::now();
         let since = self.sender.borrow().version;
         let wait = match self.hurried {
-            0 => self.pace.wait.now(),
+            0 => self.pace.long_poll_timeout.now(),
             _ => Duration::ZERO,
         };
         self.hurried = self.hurried.saturating_sub(1);
@@ -238,7 +239,7 @@
             () = more_wanted => return Ok(Progress::MoreWanted),
         };
         let partition = self.partition.clone();
-        self.publish(asked_at, |view| apply(view, changes, &partition));
+        self.publish(requested_at, |view| apply(view, changes, &partition));
         Ok(Progress::UpToDate)
     }
 
@@ -251,11 +252,11 @@
         });
     }
 
-    fn publish(&self, asked_at: BootInstant, change: impl FnOnce(&mut TableView)) {
+    fn publish(&self, requested_at: BootInstant, change: impl FnOnce(&mut TableView)) {
         self.sender.send_modify(|current| {
             let view = Arc::make_mut(current);
             change(view);
-            view.asked_at = Some(asked_at);
+            view.requested_at = Some(requested_at);
             view.confirmed_at = Some(BootInstant::now());
         });
     }
--- a/crates/sloetrail-serving/src/follow/pace.rs
+++ b/crates/sloetrail-serving/src/follow/poll_timing.rs
@@ -44,9 +44,9 @@
     }
 
     /// A service is owned by this node until the value is dropped.
-    pub fn own_service(&self) -> OwnedService {
+    pub fn own_service(&self) -> OwnedServiceGuard {
         self.state.owned_services.fetch_add(1, Ordering::Relaxed);
-        OwnedService(self.clone())
+        OwnedServiceGuard(self.clone())
     }
 
     /// How many back ends are listed, as far as known.
@@ -61,9 +61,9 @@
 
 /// Tells that this node owns a service.
 #[derive(Debug)]
-pub struct OwnedService(FleetSize);
+pub struct OwnedServiceGuard(FleetSize);
 
-impl Drop for OwnedService {
+impl Drop for OwnedServiceGuard {
     fn drop(&mut self) {
         self.0.state.owned_services.fetch_sub(1, Ordering::Relaxed);
     }
@@ -71,22 +71,22 @@
 
 /// A time that grows with the fleet.
 #[derive(Clone, Debug)]
-pub struct Pacing {
+pub struct FleetScaledDuration {
     least: Duration,
     per_back_end: Duration,
     most: Duration,
-    owners_hurry: bool,
+    owners_use_min_interval: bool,
     fleet: FleetSize,
 }
 
-impl Pacing {
+impl FleetScaledDuration {
     /// Always the same time.
     pub fn fixed(time: Duration) -> Self {
-        Self::growing(&FleetSize::default(), time, Duration::ZERO, time)
+        Self::scaled(&FleetSize::default(), time, Duration::ZERO, time)
     }
 
     /// From `least` up to `most`, by this much for each back end.
-    pub fn growing(
+    pub fn scaled(
         fleet: &FleetSize,
         least: Duration,
         per_back_end: Duration,
@@ -96,21 +96,21 @@
             least,
             per_back_end,
             most,
-            owners_hurry: false,
+            owners_use_min_interval: false,
             fleet: fleet.clone(),
         }
     }
 
     /// The same, but always the least time on a node that owns a service.
     #[must_use]
-    pub fn least_for_owners(mut self) -> Self {
-        self.owners_hurry = true;
+    pub fn min_for_owners(mut self) -> Self {
+        self.owners_use_min_interval = true;
         self
     }
 
     /// The time as of now.
     pub fn now(&self) -> Duration {
-        if self.owners_hurry && self.fleet.owns_service() {
+        if self.owners_use_min_interval && self.fleet.owns_service() {
             return self.least;
         }
         let back_ends = u32::try_from(self.fleet.back_ends()).unwrap_or(u32::MAX);
@@ -121,73 +121,73 @@
 
 /// How often a table is asked.
 #[derive(Clone, Debug)]
-pub struct FollowPace {
+pub struct PollTiming {
     /// The least time between two questions, so that many small changes come together.
-    pub pause: Pacing,
+    pub delay: FleetScaledDuration,
     /// How long a question may be held open. It also bounds how old the proof is that
     /// nothing has changed.
-    pub wait: Pacing,
+    pub long_poll_timeout: FleetScaledDuration,
 }
 
-impl FollowPace {
+impl PollTiming {
     /// The longest time between two confirmations of an unchanged view, apart from the
     /// time that answers take.
-    pub fn round(&self) -> Duration {
-        self.pause.now() + self.wait.now()
+    pub fn max_confirmation_interval(&self) -> Duration {
+        self.delay.now() + self.long_poll_timeout.now()
     }
 
     /// A pace with this pause and the usual wait of a second.
-    pub fn with_pause(pause: Duration) -> Self {
+    pub fn with_delay(pause: Duration) -> Self {
         Self {
-            pause: Pacing::fixed(pause),
-            wait: Pacing::fixed(Duration::from_secs(1)),
+            delay: FleetScaledDuration::fixed(pause),
+            long_poll_timeout: FleetScaledDuration::fixed(Duration::from_secs(1)),
         }
     }
 }
 
 /// The paces at which a node follows what it needs to know.
 #[derive(Clone, Debug)]
-pub struct FollowPaces {
+pub struct PollTimings {
     /// The operator's rows: changes are in force as soon as they are answered.
-    pub operator: FollowPace,
+    pub operator: PollTiming,
     /// The directory, whose rows change with each sign of life.
-    pub directory: FollowPace,
+    pub directory: PollTiming,
     /// The leases: one is seen to run out only by confirmations that its row has not
     /// changed.
-    pub leases: FollowPace,
+    pub leases: PollTiming,
 }
 
-impl FollowPaces {
+impl PollTimings {
     /// The paces of a node, within its bounds.
     pub fn new(fleet: &FleetSize, bounds: &ServingBounds) -> Self {
         Self {
-            operator: FollowPace {
-                pause: Pacing::fixed(OPERATOR_PAUSE),
-                wait: Pacing::growing(
+            operator: PollTiming {
+                delay: FleetScaledDuration::fixed(OPERATOR_PAUSE),
+                long_poll_timeout: FleetScaledDuration::scaled(
                     fleet,
                     OPERATOR_WAIT_LEAST,
                     OPERATOR_WAIT_PER_BACK_END,
                     OPERATOR_WAIT_MOST,
                 ),
             },
-            directory: FollowPace {
-                pause: Pacing::growing(
+            directory: PollTiming {
+                delay: FleetScaledDuration::scaled(
                     fleet,
                     DIRECTORY_PAUSE_LEAST,
                     DIRECTORY_PAUSE_PER_BACK_END,
                     DIRECTORY_PAUSE_MOST,
                 )
-                .least_for_owners(),
-                wait: Pacing::fixed(DIRECTORY_WAIT),
+                .min_for_owners(),
+                long_poll_timeout: FleetScaledDuration::fixed(DIRECTORY_WAIT),
             },
-            leases: FollowPace {
-                pause: Pacing::growing(
+            leases: PollTiming {
+                delay: FleetScaledDuration::scaled(
                     fleet,
                     LEASE_PAUSE_LEAST,
                     LEASE_PAUSE_PER_BACK_END,
                     bounds.lease,
                 ),
-                wait: Pacing::fixed(bounds.lease / LEASE_CONFIRMATIONS),
+                long_poll_timeout: FleetScaledDuration::fixed(bounds.lease / LEASE_CONFIRMATIONS),
             },
         }
     }
--- a/crates/sloetrail-serving/src/follow/pace/tests.rs
+++ b/crates/sloetrail-serving/src/follow/poll_timing/tests.rs
@@ -1,4 +1,4 @@
-use super::{FleetSize, Pacing};
+use super::{FleetScaledDuration, FleetSize};
 use std::time::Duration;
 
 const LEAST: Duration = Duration::from_millis(60);
@@ -8,7 +8,7 @@
 #[test]
 fn a_pace_grows_with_the_directory_within_its_bounds() {
     let fleet = FleetSize::default();
-    let pacing = Pacing::growing(&fleet, LEAST, PER_BACK_END, MOST);
+    let pacing = FleetScaledDuration::scaled(&fleet, LEAST, PER_BACK_END, MOST);
     let of = |back_ends: usize| {
         fleet.set_back_ends(back_ends);
         pacing.now()
@@ -23,7 +23,7 @@
 fn an_owner_asks_as_often_as_in_a_small_fleet() {
     let fleet = FleetSize::default();
     fleet.set_back_ends(3_000);
-    let pacing = Pacing::growing(&fleet, LEAST, PER_BACK_END, MOST).least_for_owners();
+    let pacing = FleetScaledDuration::scaled(&fleet, LEAST, PER_BACK_END, MOST).min_for_owners();
     let first = fleet.own_service();
     let second = fleet.own_service();
     assert_eq!(pacing.now(), LEAST);
--- a/crates/sloetrail-serving/src/follow/held.rs
+++ b/crates/sloetrail-serving/src/follow/subset.rs
@@ -1,10 +1,10 @@
 //! Reading the part of a large directory that a node holds.
 
 use crate::directory_index::{DirectoryIndex, KeyRanges};
-use crate::directory_interest::DirectoryInterest;
 use crate::events::{self, Event};
 use crate::follow::TableView;
 use crate::rows;
+use crate::subset_demand::SubsetDemand;
 use crate::table::{KeyRange, Page, ReadError, Row, Table, Transaction, read_row, scan_all};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::{RowVersion, digest};
@@ -30,9 +30,9 @@
 const WRITERS_SHARE: f64 = 0.02;
 
 /// What is needed to read a part of a directory.
-pub(crate) struct HeldReading {
+pub(crate) struct SubsetReader {
     node: String,
-    interest: Arc<DirectoryInterest>,
+    interest: Arc<SubsetDemand>,
     wanted: watch::Receiver<usize>,
     began: BootInstant,
     /// The index of a directory that has grown since it was read.
@@ -41,20 +41,20 @@
 }
 
 /// What was read, and which part of the directory it is.
-pub(super) struct HeldRows {
+pub(super) struct DirectorySubset {
     pub(super) page: Page,
     pub(super) ranges: KeyRanges,
 }
 
-impl HeldRows {
+impl DirectorySubset {
     pub(super) fn into_parts(self) -> (Page, KeyRanges) {
         (self.page, self.ranges)
     }
 }
 
-impl HeldReading {
+impl SubsetReader {
     /// The reading of a node, as far as it is interested.
-    pub(crate) fn new(node: impl Into<String>, interest: Arc<DirectoryInterest>) -> Self {
+    pub(crate) fn new(node: impl Into<String>, interest: Arc<SubsetDemand>) -> Self {
         Self {
             node: node.into(),
             wanted: interest.wanted(),
@@ -76,23 +76,23 @@
     pub(super) fn fewer_ranges(&mut self, view: &TableView) -> Option<KeyRanges> {
         let wanted = *self.wanted.borrow();
         let held = view.rows.len();
-        let most = match view.ranges.is_whole() {
+        let most = match view.ranges.covers_all() {
             true => wanted.max(PART_FROM),
             false => wanted,
         };
         if held <= most.saturating_mul(GROWN_FACTOR) {
             return None;
         }
-        let ranges = match view.ranges.is_whole() {
+        let ranges = match view.ranges.covers_all() {
             true => {
-                let index = DirectoryIndex::of_keys(view.rows.keys());
+                let index = DirectoryIndex::from_keys(view.rows.keys());
                 let ranges = index.ranges_for(&self.node, wanted);
                 self.own_index = Some(index);
                 ranges
             }
-            false => view.ranges.cut_down(&self.node, wanted, held),
+            false => view.ranges.truncated(&self.node, wanted, held),
         };
-        self.interest.grant(wanted, ranges.is_whole());
+        self.interest.grant(wanted, ranges.covers_all());
         Some(ranges)
     }
 
@@ -103,7 +103,7 @@
         let Some(index) = self.own_index.as_mut().filter(|_| is_writer) else {
             return;
         };
-        let rows = view.ranges.rows_in_all(view.rows.len());
+        let rows = view.ranges.total_rows(view.rows.len());
         if self.is_index_written && !index.is_outdated(rows) {
             return;
         }
@@ -120,7 +120,7 @@
         &mut self,
         table: &dyn Table,
         name: &str,
-    ) -> Result<HeldRows, ReadError> {
+    ) -> Result<DirectorySubset, ReadError> {
         let wanted = *self.wanted.borrow_and_update();
         let held = loop {
             let index = read_index(table).await?;
@@ -128,7 +128,7 @@
                 && index.rows >= PART_FROM
             {
                 let ranges = index.ranges_for(&self.node, wanted);
-                if !ranges.is_whole() {
+                if !ranges.covers_all() {
                     break read_ranges(table, name, ranges).await?;
                 }
             }
@@ -137,16 +137,16 @@
             if !first.more || index.is_some() || turn.is_zero() {
                 let page = read_rest(table, name, first).await?;
                 write_index(table, &page.rows, index).await;
-                let ranges = KeyRanges::whole();
-                break HeldRows { page, ranges };
+                let ranges = KeyRanges::all_keys();
+                break DirectorySubset { page, ranges };
             }
             tokio::time::sleep(turn).await;
         };
-        let is_whole = held.ranges.is_whole();
-        self.interest.grant(wanted, is_whole);
+        let covers_all = held.ranges.covers_all();
+        self.interest.grant(wanted, covers_all);
         events::emit(&Event::DirectoryRead {
             rows: held.page.rows.len(),
-            whole: is_whole,
+            whole: covers_all,
         });
         Ok(held)
     }
@@ -173,7 +173,7 @@
         });
     }
     // One without rows has no ranges worth reading.
-    let index = index.unwrap_or_else(|| DirectoryIndex::of_keys([].iter()));
+    let index = index.unwrap_or_else(|| DirectoryIndex::from_keys([].iter()));
     Ok(Some((index, row.version)))
 }
 
@@ -181,9 +181,9 @@
     table: &dyn Table,
     name: &str,
     ranges: KeyRanges,
-) -> Result<HeldRows, ReadError> {
+) -> Result<DirectorySubset, ReadError> {
     let mut page = Page::default();
-    for range in ranges.of_table(name) {
+    for range in ranges.in_table(name) {
         let part = scan_all(table, range).await?;
         // Changes are asked for since the first part was read.
         if page.version == RowVersion::default() {
@@ -191,7 +191,7 @@
         }
         page.rows.extend(part.rows);
     }
-    Ok(HeldRows { page, ranges })
+    Ok(DirectorySubset { page, ranges })
 }
 
 /// The whole directory, of which the first page was read.
@@ -223,7 +223,7 @@
         return;
     }
     let keys: Vec<String> = listed.iter().map(|row| row.address.key.clone()).collect();
-    let index = DirectoryIndex::of_keys(keys.iter());
+    let index = DirectoryIndex::from_keys(keys.iter());
     write(table, &index, known.map(|(_, version)| version)).await;
 }
 
--- a/crates/sloetrail-serving/src/follow/held/tests.rs
+++ b/crates/sloetrail-serving/src/follow/subset/tests.rs
@@ -1,9 +1,9 @@
 //! How much nodes read of a directory, counted in rows.
 
-use super::HeldReading;
-use crate::directory_interest::DirectoryInterest;
-use crate::follow::{FollowPace, ViewReceiver, follow_directory};
+use super::SubsetReader;
+use crate::follow::{PollTiming, ViewReceiver, follow_directory};
 use crate::rows;
+use crate::subset_demand::SubsetDemand;
 use crate::table::{
     Change, Changes, Commit, CommitError, KeyRange, Page, ReadError, Row, RowAddress, Table,
     TableLimits, Transaction,
@@ -169,16 +169,16 @@
 }
 
 struct Node {
-    interest: Arc<DirectoryInterest>,
+    interest: Arc<SubsetDemand>,
     view: ViewReceiver,
 }
 
 impl Node {
     fn start(table: &Arc<CountingTable>, name: &str) -> Self {
-        let interest = Arc::new(DirectoryInterest::default());
-        let held = HeldReading::new(name, Arc::clone(&interest));
+        let interest = Arc::new(SubsetDemand::default());
+        let held = SubsetReader::new(name, Arc::clone(&interest));
         let table = Arc::clone(table) as Arc<dyn Table>;
-        let pace = FollowPace::with_pause(Duration::from_millis(60));
+        let pace = PollTiming::with_delay(Duration::from_millis(60));
         let view = follow_directory(table, NAME, pace, held);
         Self { interest, view }
     }
@@ -256,10 +256,10 @@
     let held = later.read().await.held();
     assert!((300..=1_500).contains(&held), "{held} after a restart");
     let owner = &mut nodes[0];
-    owner.interest.want_all();
-    let is_whole = owner.view.wait_for(|view| view.rows.len() == 10_000);
-    let whole = tokio::time::timeout(Duration::from_millis(200), is_whole).await;
-    assert!(whole.is_ok(), "all rows are known when all are wanted");
+    owner.interest.demand_all();
+    let covers_all = owner.view.wait_for(|view| view.rows.len() == 10_000);
+    let known = tokio::time::timeout(Duration::from_millis(200), covers_all).await;
+    assert!(known.is_ok(), "all rows are known when all are wanted");
 }
 
 #[tokio::test(start_paused = true)]
@@ -323,18 +323,18 @@
     Node::start(&table, "first").read().await;
     let mut node = Node::start(&table, "node");
     let before = node.read().await.held();
-    node.interest.want_more();
-    node.interest.want_more();
+    node.interest.demand_more();
+    node.interest.demand_more();
     settle().await;
     let more = node.held();
     assert!(
         more > before * 3 / 2 && more < before * 3,
         "{before}, {more}"
     );
-    node.interest.want_all();
-    let is_whole = node.view.wait_for(|view| view.rows.len() == 5_000);
-    let whole = tokio::time::timeout(Duration::from_millis(200), is_whole).await;
-    assert!(whole.is_ok(), "an owner does not wait for the next change");
+    node.interest.demand_all();
+    let covers_all = node.view.wait_for(|view| view.rows.len() == 5_000);
+    let known = tokio::time::timeout(Duration::from_millis(200), covers_all).await;
+    assert!(known.is_ok(), "an owner does not wait for the next change");
 }
 
 /// A row under the index's key that no node would write costs reading, not back ends.
--- a/crates/sloetrail-serving/src/follow/tests.rs
+++ b/crates/sloetrail-serving/src/follow/tests.rs
@@ -1,4 +1,4 @@
-use super::{FollowPace, follow};
+use super::{PollTiming, follow};
 use crate::table::{
     Changes, Commit, CommitError, KeyRange, Page, ReadError, Table, TableLimits, Transaction,
 };
@@ -84,7 +84,7 @@
 
 /// How long a follower takes to read a table that comes back after this time.
 async fn found_back_after(table: Arc<AbsentTable>, absence: Duration) -> Duration {
-    let pace = FollowPace::with_pause(Duration::from_millis(5));
+    let pace = PollTiming::with_delay(Duration::from_millis(5));
     let mut view = follow(Arc::clone(&table) as Arc<dyn Table>, "rows", "", pace);
     tokio::time::sleep(absence).await;
     assert!(view.borrow().confirmed_at.is_none());
@@ -118,8 +118,8 @@
 async fn after_a_late_answer_the_next_one_comes_at_once() {
     let table = AbsentTable::new(false);
     table.is_back.send_replace(true);
-    let pace = FollowPace::with_pause(Duration::from_millis(5));
-    let held = pace.wait.now();
+    let pace = PollTiming::with_delay(Duration::from_millis(5));
+    let held = pace.long_poll_timeout.now();
     let mut view = follow(Arc::clone(&table) as Arc<dyn Table>, "rows", "", pace);
     let is_known = view.wait_for(|view| view.confirmed_at.is_some());
     is_known.await.expect("the follower lives");
@@ -127,7 +127,7 @@
     // The clock goes on by this while nothing runs.
     tokio::time::advance(held + Duration::from_secs(2)).await;
     let woken_at = BootInstant::now();
-    let is_new = view.wait_for(|view| view.asked_at.is_some_and(|at| at >= woken_at));
+    let is_new = view.wait_for(|view| view.requested_at.is_some_and(|at| at >= woken_at));
     is_new.await.expect("the follower lives");
     let took = woken_at.elapsed();
     assert!(took < Duration::from_millis(50), "{took:?} of {held:?}");
@@ -137,8 +137,8 @@
 async fn after_a_pause_in_which_nothing_ran_the_table_is_asked_for_an_answer_at_once() {
     let table = AbsentTable::new(false);
     table.is_back.send_replace(true);
-    let pace = FollowPace::with_pause(Duration::from_millis(60));
-    let held = pace.wait.now();
+    let pace = PollTiming::with_delay(Duration::from_millis(60));
+    let held = pace.long_poll_timeout.now();
     let mut view = follow(Arc::clone(&table) as Arc<dyn Table>, "rows", "", pace);
     let is_known = view.wait_for(|view| view.confirmed_at.is_some());
     is_known.await.expect("the follower lives");
@@ -146,7 +146,7 @@
     tokio::time::sleep(Duration::from_millis(20)).await;
     tokio::time::advance(Duration::from_secs(2)).await;
     let woken_at = BootInstant::now();
-    let is_new = view.wait_for(|view| view.asked_at.is_some_and(|at| at >= woken_at));
+    let is_new = view.wait_for(|view| view.requested_at.is_some_and(|at| at >= woken_at));
     is_new.await.expect("the follower lives");
     let took = woken_at.elapsed();
     assert!(took < Duration::from_millis(200), "{took:?} of {held:?}");
--- a/crates/sloetrail-serving/src/gateway/claims/sweep.rs
+++ b/crates/sloetrail-serving/src/gateway/claims/sweep.rs
@@ -4,7 +4,7 @@
 //! answered, which stays in the regions where it may be.
 
 use crate::events::{self, Event};
-use crate::follow::{FleetSize, Pacing};
+use crate::follow::{FleetScaledDuration, FleetSize};
 use crate::rows;
 use crate::table::{Commit, Row, Table, Transaction};
 use std::sync::Arc;
@@ -21,7 +21,8 @@
 
 /// Deletes claims that are past their time, now and then, for ever.
 pub(crate) async fn keep_swept(table: Arc<dyn Table>, fleet: FleetSize) {
-    let period = Pacing::growing(&fleet, PERIOD_LEAST, PERIOD_PER_BACK_END, PERIOD_MOST);
+    let period =
+        FleetScaledDuration::scaled(&fleet, PERIOD_LEAST, PERIOD_PER_BACK_END, PERIOD_MOST);
     loop {
         // Nodes that started together do not sweep together.
         let share = 0.5 + 0.5 * rand::random::<f64>();
--- a/crates/sloetrail-serving/src/gateway/live.rs
+++ b/crates/sloetrail-serving/src/gateway/live.rs
@@ -13,7 +13,7 @@
 use crate::http::{Reuse, WholeAnswer};
 use crate::place_turns::PlaceSeeker;
 use crate::quarantine::{Passage, RequestIdentity};
-use crate::service_pools::Place;
+use crate::service_pools::SlotPermit;
 use crate::telemetry;
 use crate::usage::BegunRequest;
 use futures_util::StreamExt;
@@ -73,7 +73,7 @@
 struct Attempted {
     /// The number of the send.
     send: usize,
-    place: Place,
+    place: SlotPermit,
     result: AttemptResult,
     took: Duration,
 }
@@ -145,7 +145,7 @@
     pub(crate) fn note_failed_attempt(
         &self,
         passage: &Passage,
-        place: &Place,
+        place: &SlotPermit,
         result: &AttemptResult,
         took: Duration,
     ) {
@@ -191,7 +191,7 @@
         seeker: &mut PlaceSeeker,
         wait: &mut PlaceWait,
     ) -> bool {
-        let outlook = self.place_outlook(seeker);
+        let outlook = self.slot_wait_estimate(seeker);
         let is_held_back = outlook.is_some_and(|outlook| outlook.held_back_by > 0);
         let now = BootInstant::now();
         let bounds = WaitBounds {
@@ -212,14 +212,14 @@
     /// When a caller that is refused should come back.
     pub(crate) fn retry_after(&self, seeker: &PlaceSeeker) -> Duration {
         let left = self.deadline.saturating_duration_since(BootInstant::now());
-        place_wait::retry_after(self.place_outlook(seeker), left, rand::random())
+        place_wait::retry_after(self.slot_wait_estimate(seeker), left, rand::random())
     }
 
     /// Why no place was had, for people.
     pub(crate) fn no_place(&self, seeker: &PlaceSeeker) -> String {
         let (service, regions) = (&self.service, &self.regions);
         match self
-            .place_outlook(seeker)
+            .slot_wait_estimate(seeker)
             .map(|outlook| outlook.held_back_by)
         {
             None => format!("service {service}: no back end takes work; regions: {regions}"),
@@ -234,14 +234,14 @@
     /// The code of a request that found no place: where it is allowed in some regions only and
     /// no back end there takes work, engines elsewhere are of no use to it.
     pub(crate) fn no_engine(&self, seeker: &PlaceSeeker) -> ResultCode {
-        match self.place_outlook(seeker) {
+        match self.slot_wait_estimate(seeker) {
             None if !self.regions.is_everywhere() => ResultCode::NoAllowedEngine,
             _ => ResultCode::NoEngine,
         }
     }
 
-    fn place_outlook(&self, seeker: &PlaceSeeker) -> Option<PlaceOutlook> {
-        self.context.pools.place_outlook(seeker)
+    fn slot_wait_estimate(&self, seeker: &PlaceSeeker) -> Option<PlaceOutlook> {
+        self.context.pools.slot_wait_estimate(seeker)
     }
 
     fn reuse(&self) -> Reuse {
@@ -442,7 +442,7 @@
         }
     }
 
-    fn log_attempt(&self, place: &Place, result: &AttemptResult, took: Duration) {
+    fn log_attempt(&self, place: &SlotPermit, result: &AttemptResult, took: Duration) {
         if matches!(result, AttemptResult::Answered(_)) {
             return;
         }
--- a/crates/sloetrail-serving/src/gateway/stream.rs
+++ b/crates/sloetrail-serving/src/gateway/stream.rs
@@ -17,7 +17,7 @@
 use crate::http::{AnswerBody, Exchange, Reuse, SendFailure, WholeAnswer};
 use crate::place_turns::PlaceSeeker;
 use crate::quarantine::{Passage, RunWatch};
-use crate::service_pools::Place;
+use crate::service_pools::SlotPermit;
 use crate::usage::BegunRequest;
 use bytes::Bytes;
 use futures_util::StreamExt;
@@ -67,7 +67,7 @@
 }
 
 struct Open {
-    place: Place,
+    place: SlotPermit,
     status: StatusCode,
     headers: HeaderMap,
     body: AnswerBody,
@@ -75,7 +75,7 @@
 }
 
 impl Open {
-    fn new(place: Place, exchange: Exchange, watch: RunWatch) -> Self {
+    fn new(place: SlotPermit, exchange: Exchange, watch: RunWatch) -> Self {
         Self {
             watch,
             place,
@@ -125,7 +125,7 @@
 
 struct Running {
     source: Source,
-    place: Option<Place>,
+    place: Option<SlotPermit>,
     watch: Option<RunWatch>,
     body: AnswerBody,
     parser: EventParser,
@@ -201,7 +201,7 @@
     }
 
     /// A back end that was not tried yet, or else one that was, if a place comes free soon.
-    async fn acquire_or_wait(&mut self, wait: &mut PlaceWait) -> Option<Place> {
+    async fn acquire_or_wait(&mut self, wait: &mut PlaceWait) -> Option<SlotPermit> {
         let context = self.context();
         loop {
             context.pause_guard.settled().await;
@@ -236,7 +236,7 @@
         true
     }
 
-    async fn try_back_end(&mut self, place: Place) -> Result<Opening, AttemptResult> {
+    async fn try_back_end(&mut self, place: SlotPermit) -> Result<Opening, AttemptResult> {
         let began = BootInstant::now();
         let watch = self.passage.watch_run(place.shared_back_end());
         let result = match self.exchange(&place).await {
@@ -271,7 +271,7 @@
         }
     }
 
-    async fn exchange(&self, place: &Place) -> Result<Exchange, AttemptResult> {
+    async fn exchange(&self, place: &SlotPermit) -> Result<Exchange, AttemptResult> {
         let context = &self.call.context;
         let names = context.dialect.headers();
         let mut outgoing: Outgoing = self.call.outgoing.clone();
@@ -311,7 +311,7 @@
 
     fn pieces(
         self,
-        place: Place,
+        place: SlotPermit,
         body: AnswerBody,
         watch: RunWatch,
     ) -> BoxStream<'static, io::Result<Bytes>> {
--- a/crates/sloetrail-serving/src/leases/keeper.rs
+++ b/crates/sloetrail-serving/src/leases/keeper.rs
@@ -4,7 +4,7 @@
 use super::{LeaseSubject, Term, TermWork};
 use crate::context::NodeContext;
 use crate::events::{self, Event};
-use crate::follow::{OwnedService, TableView, ViewReceiver};
+use crate::follow::{OwnedServiceGuard, TableView, ViewReceiver};
 use crate::rows;
 use crate::table::{Commit, Row, Transaction};
 use crate::telemetry;
@@ -37,7 +37,7 @@
     /// Tells the holder when the table last confirmed the lease.
     confirmed_at: watch::Sender<BootInstant>,
     /// Has the directory followed as closely as in a small fleet.
-    _owned: Option<OwnedService>,
+    _owned: Option<OwnedServiceGuard>,
 }
 
 /// Competes for one lease, and renews it while this node holds it.
@@ -174,7 +174,7 @@
     /// The time between two confirmations of a view that is kept up.
     fn confirmation_gap(&self) -> Duration {
         let answers = self.context.table.ordinary_time() * CONFIRMATION_ANSWERS;
-        self.context.lease_pace.round() + CONFIRMATION_MARGIN + answers
+        self.context.lease_pace.max_confirmation_interval() + CONFIRMATION_MARGIN + answers
     }
 
     fn observe_row(&mut self, row: Option<&Row>, at: BootInstant) {
--- a/crates/sloetrail-serving/src/leases/leased_sets/tests.rs
+++ b/crates/sloetrail-serving/src/leases/leased_sets/tests.rs
@@ -22,11 +22,11 @@
         (address.key, row)
     });
     Arc::new(TableView {
-        ranges: KeyRanges::whole(),
+        ranges: KeyRanges::all_keys(),
         rows: rows.collect(),
         version: RowVersion(version),
         confirmed_at: None,
-        asked_at: None,
+        requested_at: None,
         interruptions: 0,
     })
 }
--- a/crates/sloetrail-serving/src/node.rs
+++ b/crates/sloetrail-serving/src/node.rs
@@ -4,11 +4,10 @@
 use crate::context::NodeContext;
 use crate::dialect::Dialect;
 use crate::directory::watch_directory;
-use crate::directory_interest::{DirectoryInterest, keep_enough};
 use crate::ended_lives::watch_ended_lives;
 use crate::engine_supply::EngineSupply;
 use crate::events::{self, Event};
-use crate::follow::{FleetSize, FollowPaces, HeldReading, ViewReceiver, follow, follow_directory};
+use crate::follow::{FleetSize, PollTimings, SubsetReader, ViewReceiver, follow, follow_directory};
 use crate::gateway::claims::{Claims, sweep};
 use crate::gateway::front::Front;
 use crate::gateway::message::{empty_response, whole_body};
@@ -21,6 +20,7 @@
 use crate::rows;
 use crate::service_pools::ServicePools;
 use crate::settings::ServingSettings;
+use crate::subset_demand::{SubsetDemand, watch_subset_coverage};
 use crate::supervisor::supervise;
 use crate::table::Table;
 use crate::telemetry::{self, Beliefs};
@@ -213,8 +213,8 @@
     fn follow(
         table: &Arc<dyn Table>,
         dialect: &dyn Dialect,
-        paces: FollowPaces,
-        held: HeldReading,
+        paces: PollTimings,
+        held: SubsetReader,
     ) -> Self {
         let sources = dialect.sources().clone();
         let configuration = sources.configuration;
@@ -244,17 +244,17 @@
     engine_supply: Option<Arc<dyn EngineSupply>>,
 ) -> NodeContext {
     let fleet = FleetSize::default();
-    let paces = FollowPaces::new(&fleet, &settings.bounds);
+    let paces = PollTimings::new(&fleet, &settings.bounds);
     let lease_pace = paces.leases.clone();
-    let directory_interest = Arc::new(DirectoryInterest::default());
-    let held = HeldReading::new(&settings.node, Arc::clone(&directory_interest));
+    let subset_demand = Arc::new(SubsetDemand::default());
+    let held = SubsetReader::new(&settings.node, Arc::clone(&subset_demand));
     let views = Views::follow(&table, &*dialect, paces, held);
     let (directory, directory_taken_in) =
         watch_directory(views.directory, Arc::clone(&dialect), fleet.clone());
     let seed = digest(settings.instance.as_str().as_bytes());
     let (in_force, operator_taken_in) = watch_operator(views.operator, Arc::clone(&dialect));
-    keep_enough(
-        Arc::clone(&directory_interest),
+    watch_subset_coverage(
+        Arc::clone(&subset_demand),
         settings.topology.clone(),
         directory.clone(),
         in_force.clone(),
@@ -275,7 +275,7 @@
     let zone_work = ZoneWork::start(in_force.clone());
     let pools = ServicePools::new(
         &settings,
-        (peers.clone(), Arc::clone(&directory_interest)),
+        (peers.clone(), Arc::clone(&subset_demand)),
         Arc::clone(&zone_work),
         seed,
     );
@@ -312,7 +312,7 @@
         directory,
         directory_taken_in,
         operator_taken_in,
-        directory_interest,
+        subset_demand,
         leases: views.leases,
         leased_sets,
         lease_pace,
@@ -391,12 +391,12 @@
 fn beliefs(context: &NodeContext, callers: &ConnectionTracker) -> Beliefs {
     let configuration = context.configuration();
     let directory = Arc::clone(&context.directory.borrow());
-    let age = |asked_at: Option<BootInstant>| asked_at.map(|at| at.elapsed());
+    let age = |requested_at: Option<BootInstant>| requested_at.map(|at| at.elapsed());
     Beliefs {
         configuration_revision: configuration.map_or(0, |known| known.revision.0),
         directory_version: directory.version.0,
         back_ends_held: directory.back_ends.len(),
-        back_ends_listed: directory.rows_in_all,
+        back_ends_listed: directory.total_rows,
         directory_age: age(*context.directory_taken_in.borrow()),
         operator_age: age(*context.operator_taken_in.borrow()),
         zones: context.zone_work.evacuated(),
--- a/crates/sloetrail-serving/src/operator.rs
+++ b/crates/sloetrail-serving/src/operator.rs
@@ -4,7 +4,7 @@
 
 use crate::dialect::Dialect;
 use crate::events::{self, Event};
-use crate::follow::{TableView, TakenIn, ViewReceiver};
+use crate::follow::{LastApplied, TableView, ViewReceiver};
 use sloetrail_clock::BootInstant;
 use sloetrail_routing::ServingConfiguration;
 use sloetrail_types::{RowVersion, WeightVersion, ZoneName};
@@ -83,9 +83,9 @@
 pub fn watch_operator(
     mut view: ViewReceiver,
     dialect: Arc<dyn Dialect>,
-) -> (watch::Receiver<Arc<InForce>>, TakenIn) {
+) -> (watch::Receiver<Arc<InForce>>, LastApplied) {
     let (sender, receiver) = watch::channel(Arc::new(InForce::default()));
-    let (taken_in, taken_in_at) = watch::channel(view.borrow().asked_at);
+    let (taken_in, taken_in_at) = watch::channel(view.borrow().requested_at);
     tokio::spawn(async move {
         while view.changed().await.is_ok() && !sender.is_closed() {
             let table = view.borrow_and_update().clone();
@@ -96,7 +96,7 @@
             if configured || published || evacuated {
                 sender.send_replace(Arc::new(next));
             }
-            taken_in.send_replace(table.asked_at);
+            taken_in.send_replace(table.requested_at);
         }
     });
     (receiver, taken_in_at)
--- a/crates/sloetrail-serving/src/owner/service_owner.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner.rs
@@ -27,7 +27,7 @@
 use super::run::RunProgress;
 use super::sweeper;
 use crate::context::NodeContext;
-use crate::follow::{FollowPace, ViewReceiver, follow};
+use crate::follow::{PollTiming, ViewReceiver, follow};
 use crate::leases::{BatchSet, OrderWindow, Term};
 use crate::rows;
 use sloetrail_balance::TenantShares;
@@ -279,7 +279,7 @@
             source,
             table,
             rows::CALLERS,
-            FollowPace::with_pause(FOLLOW_PAUSE),
+            PollTiming::with_delay(FOLLOW_PAUSE),
         )
     }
 
@@ -403,7 +403,7 @@
         }
         let enough = at_a_time * PLACES_FOR_ITEM;
         if !self.engines.has_places(enough, BootInstant::now()) {
-            self.context.directory_interest.want_more();
+            self.context.subset_demand.demand_more();
         }
     }
 
--- a/crates/sloetrail-serving/src/owner/service_owner/scoring.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/scoring.rs
@@ -32,7 +32,7 @@
     pub(super) fn score_texts(&mut self) {
         let context = Arc::clone(&self.context);
         let places = |lane: &Lane| match &lane.service {
-            Some(service) => context.pools.places_beside_callers(service, &lane.regions),
+            Some(service) => context.pools.sample_slots(service, &lane.regions),
             None => 0,
         };
         for scoring in self.rewards.start(BootInstant::now(), places) {
--- a/crates/sloetrail-serving/src/owner/service_owner/supply.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/supply.rs
@@ -110,8 +110,8 @@
         };
         // Numbers that are decided from a part of the engines are wrong, and the first of them
         // stays.
-        if !self.context.directory.borrow().is_whole {
-            self.context.directory_interest.want_all();
+        if !self.context.directory.borrow().covers_all {
+            self.context.subset_demand.demand_all();
             return;
         }
         let now = self.supply.now();
--- a/crates/sloetrail-serving/src/owner/sweeper/tests.rs
+++ b/crates/sloetrail-serving/src/owner/sweeper/tests.rs
@@ -44,11 +44,11 @@
         ((*id).to_owned(), row)
     });
     TableView {
-        ranges: KeyRanges::whole(),
+        ranges: KeyRanges::all_keys(),
         rows: rows.collect(),
         version: RowVersion(1),
         confirmed_at: None,
-        asked_at: None,
+        requested_at: None,
         interruptions: 0,
     }
 }
--- a/crates/sloetrail-serving/src/pause_guard.rs
+++ b/crates/sloetrail-serving/src/pause_guard.rs
@@ -6,7 +6,7 @@
 //! may be evacuated.
 
 use crate::events::{self, Event};
-use crate::follow::TakenIn;
+use crate::follow::LastApplied;
 use sloetrail_clock::BootInstant;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -46,11 +46,11 @@
 
     /// True unless the process has just woken and the question that was answered last
     /// was asked before.
-    fn is_settled(&mut self, now: BootInstant, asked_at: Option<BootInstant>) -> bool {
+    fn is_settled(&mut self, now: BootInstant, requested_at: Option<BootInstant>) -> bool {
         let Some(woken_at) = self.woken_at else {
             return true;
         };
-        let was_asked_since = asked_at.is_some_and(|asked_at| asked_at > woken_at);
+        let was_asked_since = requested_at.is_some_and(|requested_at| requested_at > woken_at);
         let had_time = now.saturating_duration_since(woken_at) >= SETTLE_TIME;
         if was_asked_since || had_time {
             self.woken_at = None;
@@ -63,13 +63,13 @@
 pub(crate) struct PauseGuard {
     /// What back ends are chosen by, as far as it was taken in: the directory, the operator's
     /// rows and the crashes under requests.
-    beliefs: Vec<TakenIn>,
+    beliefs: Vec<LastApplied>,
     state: Mutex<Wakefulness>,
 }
 
 impl PauseGuard {
     /// A guard over what back ends are chosen by; it watches until it is dropped.
-    pub(crate) fn start(beliefs: impl Into<Vec<TakenIn>>) -> Arc<Self> {
+    pub(crate) fn start(beliefs: impl Into<Vec<LastApplied>>) -> Arc<Self> {
         let guard = Arc::new(Self {
             beliefs: beliefs.into(),
             state: Mutex::new(Wakefulness::new(BootInstant::now())),
@@ -102,9 +102,9 @@
     pub(crate) fn is_settled(&self) -> bool {
         self.note();
         let asked = self.beliefs.iter().map(|taken_in| *taken_in.borrow());
-        let asked_at = asked.min().flatten();
+        let requested_at = asked.min().flatten();
         let mut state = self.state.lock().expect("not poisoned");
-        state.is_settled(BootInstant::now(), asked_at)
+        state.is_settled(BootInstant::now(), requested_at)
     }
 
     /// Waits until back ends may be chosen.
--- a/crates/sloetrail-serving/src/pause_guard/tests.rs
+++ b/crates/sloetrail-serving/src/pause_guard/tests.rs
@@ -46,10 +46,10 @@
     assert!(wakefulness.is_settled(woken + milliseconds(500), None));
 }
 
-fn view(asked_at: Option<BootInstant>) -> Arc<TableView> {
+fn view(requested_at: Option<BootInstant>) -> Arc<TableView> {
     Arc::new(TableView {
-        confirmed_at: asked_at,
-        asked_at,
+        confirmed_at: requested_at,
+        requested_at,
         ..TableView::empty()
     })
 }
--- a/crates/sloetrail-serving/src/place_turns.rs
+++ b/crates/sloetrail-serving/src/place_turns.rs
@@ -1,6 +1,6 @@
 //! Those that wait for a place at one service of this node, and how they are woken.
 
-use crate::service_pools::{Place, ServicePools};
+use crate::service_pools::{ServicePools, SlotPermit};
 use sloetrail_balance::{PlaceQueue, PlaceRequest, PlaceTicket, WorkOwner};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::{AllowedRegions, EngineId, ServiceName, Timestamp};
@@ -131,7 +131,7 @@
 
     /// Takes a place at a back end that is not excluded, if there is one and nobody that
     /// waits goes before.
-    pub(crate) fn acquire(&mut self, excluded: &BTreeSet<EngineId>) -> Option<Place> {
+    pub(crate) fn acquire(&mut self, excluded: &BTreeSet<EngineId>) -> Option<SlotPermit> {
         let place = self.pools.acquire(self, excluded)?;
         self.has_had_place = true;
         self.leave();
@@ -142,7 +142,7 @@
     pub(crate) async fn wait_until(&mut self, moment: BootInstant) {
         let ticket = self
             .pools
-            .with_turns(&self.service, |turns| turns.join(self));
+            .with_slot_queue(&self.service, |turns| turns.join(self));
         self.ticket = Some(ticket);
         self.is_waiting = true;
         // Without an offer it looks by itself: a place may come without one being freed.
@@ -156,7 +156,7 @@
         };
         self.is_waiting = false;
         self.pools
-            .with_turns(&self.service, |turns| turns.leave(ticket));
+            .with_slot_queue(&self.service, |turns| turns.leave(ticket));
         self.pools.wake_first(&self.service);
     }
 }
@@ -165,7 +165,7 @@
     fn drop(&mut self) {
         self.leave();
         if !self.has_had_place {
-            self.pools.note_missed(self);
+            self.pools.note_unserved(self);
         }
     }
 }
--- a/crates/sloetrail-serving/src/place_turns/tests.rs
+++ b/crates/sloetrail-serving/src/place_turns/tests.rs
@@ -60,13 +60,13 @@
     let pools = pools();
     for _ in 0..REQUESTS {
         let urgent = Urgency::new(None, URGENT);
-        pools.with_turns(&ServiceName::from("maps"), |turns| {
+        pools.with_slot_queue(&ServiceName::from("maps"), |turns| {
             turns.queue.note_served(urgent, true);
         });
         drop(seeker(&pools, PATIENT));
     }
     let (urgent, patient) = (seeker(&pools, URGENT), seeker(&pools, PATIENT));
-    let (offered, first) = pools.with_turns(&ServiceName::from("maps"), |turns| {
+    let (offered, first) = pools.with_slot_queue(&ServiceName::from("maps"), |turns| {
         let first = turns.join(&urgent);
         turns.join(&patient);
         (turns.queue.offer(NOW, anywhere), first)
--- a/crates/sloetrail-serving/src/quarantine/mod.rs
+++ b/crates/sloetrail-serving/src/quarantine/mod.rs
@@ -34,7 +34,7 @@
 use crate::directory::Directory;
 use crate::ended_lives::EndedReceiver;
 use crate::events::{self, Event};
-use crate::follow::{TakenIn, ViewReceiver};
+use crate::follow::{LastApplied, ViewReceiver};
 use crate::rows;
 use crate::settings::ServingSettings;
 use crate::table::Table;
@@ -71,8 +71,8 @@
         table: Arc<dyn Table>,
         (directory, ended): (watch::Receiver<Arc<Directory>>, EndedReceiver),
         leases: ViewReceiver,
-    ) -> (Arc<Self>, TakenIn) {
-        let (taken_in, taken_in_at) = watch::channel(leases.borrow().asked_at);
+    ) -> (Arc<Self>, LastApplied) {
+        let (taken_in, taken_in_at) = watch::channel(leases.borrow().requested_at);
         let quarantine = Arc::new(Self {
             crashes: CrashWatch::new(directory.clone(), ended.clone()),
             writer: Writer::start(Arc::clone(&table)),
@@ -227,7 +227,7 @@
     /// other software.
     fn software_in_use(&self, service: &ServiceName) -> Option<BTreeSet<String>> {
         let directory = self.directory.borrow();
-        if !directory.is_whole {
+        if !directory.covers_all {
             return None;
         }
         let back_ends = directory.of_service(service);
@@ -244,12 +244,12 @@
     taken_in: watch::Sender<Option<BootInstant>>,
 ) {
     while leases.changed().await.is_ok() {
-        let asked_at = leases.borrow_and_update().asked_at;
+        let requested_at = leases.borrow_and_update().requested_at;
         let Some(quarantine) = quarantine.upgrade() else {
             return;
         };
         quarantine.take_view();
-        taken_in.send_replace(asked_at);
+        taken_in.send_replace(requested_at);
     }
 }
 
--- a/crates/sloetrail-serving/src/quarantine/sweep.rs
+++ b/crates/sloetrail-serving/src/quarantine/sweep.rs
@@ -1,7 +1,7 @@
 //! Deleting rows of crashes that are past their time.
 
 use super::Quarantine;
-use crate::follow::{FleetSize, Pacing};
+use crate::follow::{FleetScaledDuration, FleetSize};
 use crate::rows;
 use crate::table::{Commit, Transaction};
 use std::sync::Arc;
@@ -17,7 +17,8 @@
 
 /// Deletes rows that are past their time, now and then, for ever.
 pub(crate) async fn keep_swept(quarantine: Arc<Quarantine>, fleet: FleetSize) {
-    let period = Pacing::growing(&fleet, PERIOD_LEAST, PERIOD_PER_BACK_END, PERIOD_MOST);
+    let period =
+        FleetScaledDuration::scaled(&fleet, PERIOD_LEAST, PERIOD_PER_BACK_END, PERIOD_MOST);
     loop {
         // Nodes that started together do not sweep together.
         let share = 0.5 + 0.5 * rand::random::<f64>();
--- a/crates/sloetrail-serving/src/relay/peers.rs
+++ b/crates/sloetrail-serving/src/relay/peers.rs
@@ -4,7 +4,7 @@
     CALLS_PATH, CarriedCall, MESSAGE_VERSION, Reach, TableAnswer, TableCall, decode, encode,
 };
 use crate::events::{self, Event};
-use crate::follow::{FollowPace, Pacing, ViewReceiver, follow};
+use crate::follow::{FleetScaledDuration, PollTiming, ViewReceiver, follow};
 use crate::http::{ConnectionPool, Exchange, Reuse, SendFailure, WholeBody};
 use crate::rows;
 use crate::settings::ServingSettings;
@@ -170,9 +170,9 @@
 impl Peers {
     /// Follows the rows of the other nodes.
     pub(super) fn follow(settings: &ServingSettings, table: &Arc<dyn Table>) -> Self {
-        let pace = FollowPace {
-            pause: Pacing::fixed(FOLLOW_PAUSE),
-            wait: Pacing::fixed(FOLLOW_WAIT),
+        let pace = PollTiming {
+            delay: FleetScaledDuration::fixed(FOLLOW_PAUSE),
+            long_poll_timeout: FleetScaledDuration::fixed(FOLLOW_WAIT),
         };
         Self {
             own_name: settings.node.clone(),
--- a/crates/sloetrail-serving/src/relay/peers/tests.rs
+++ b/crates/sloetrail-serving/src/relay/peers/tests.rs
@@ -79,11 +79,11 @@
 
 fn peers() -> Peers {
     let (_, entries) = watch::channel(Arc::new(TableView {
-        ranges: KeyRanges::whole(),
+        ranges: KeyRanges::all_keys(),
         rows: BTreeMap::new(),
         version: RowVersion(0),
         confirmed_at: None,
-        asked_at: None,
+        requested_at: None,
         interruptions: 0,
     }));
     Peers {
--- a/crates/sloetrail-serving/src/service_pools.rs
+++ b/crates/sloetrail-serving/src/service_pools.rs
@@ -5,13 +5,13 @@
 use self::state::{State, live_demand};
 use crate::back_end::BackEnd;
 use crate::directory::Directory;
-use crate::directory_interest::DirectoryInterest;
 use crate::gateway::place_wait::PlaceOutlook;
 use crate::leases::LeasedSets;
 use crate::operator::InForce;
 use crate::place_turns::{PlaceSeeker, PlaceTurns};
 use crate::relay::peers::Peers;
 use crate::settings::ServingSettings;
+use crate::subset_demand::SubsetDemand;
 use crate::zone_work::{RunningInZone, WorkKind, ZoneWork};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -33,7 +33,7 @@
     origin: BootInstant,
     zone_work: Arc<ZoneWork>,
     /// Told when none of the back ends that are held has a place.
-    interest: Arc<DirectoryInterest>,
+    interest: Arc<SubsetDemand>,
     state: Mutex<State>,
 }
 
@@ -41,7 +41,7 @@
     /// Pools of a node without back ends.
     pub(crate) fn new(
         settings: &ServingSettings,
-        (peers, interest): (Option<Arc<Peers>>, Arc<DirectoryInterest>),
+        (peers, interest): (Option<Arc<Peers>>, Arc<SubsetDemand>),
         zone_work: Arc<ZoneWork>,
         seed: u64,
     ) -> Arc<Self> {
@@ -145,7 +145,7 @@
 
     /// When a request may have a place at a back end in its allowed regions; nothing if none
     /// takes work there.
-    pub(crate) fn place_outlook(&self, seeker: &PlaceSeeker) -> Option<PlaceOutlook> {
+    pub(crate) fn slot_wait_estimate(&self, seeker: &PlaceSeeker) -> Option<PlaceOutlook> {
         let (service, regions) = (seeker.service(), &seeker.request().regions);
         let now = self.now();
         let state = self.state.lock().expect("not poisoned");
@@ -174,11 +174,7 @@
     /// How many requests this node may have at a time at the back ends of a service in the
     /// allowed regions, beside what is kept for callers' requests. Those that are left alone
     /// after a loss or a refusal do not count.
-    pub(crate) fn places_beside_callers(
-        &self,
-        service: &ServiceName,
-        regions: &AllowedRegions,
-    ) -> usize {
+    pub(crate) fn sample_slots(&self, service: &ServiceName, regions: &AllowedRegions) -> usize {
         let now = self.now();
         let mut state = self.state.lock().expect("not poisoned");
         state.readmit(service, now);
@@ -194,7 +190,7 @@
         self: &Arc<Self>,
         seeker: &PlaceSeeker,
         excluded: &BTreeSet<EngineId>,
-    ) -> Option<Place> {
+    ) -> Option<SlotPermit> {
         let (service, tenant) = (seeker.service(), &seeker.request().tenant);
         let now = self.now();
         let mut state = self.state.lock().expect("not poisoned");
@@ -212,7 +208,7 @@
         let regions = &seeker.request().regions;
         let chosen = balancer.choose(now, random, live_demand(excluded, regions));
         let Some(id) = chosen else {
-            self.interest.want_more();
+            self.interest.demand_more();
             return None;
         };
         let back_end = directory.back_ends.get(&id).cloned();
@@ -222,7 +218,7 @@
         };
         let directory_version = directory.version;
         state.turns(service).began(seeker);
-        Some(Place {
+        Some(SlotPermit {
             _running: self.zone_work.begin(&back_end.zone, WorkKind::Live),
             pools: Arc::clone(self),
             back_end,
@@ -233,7 +229,7 @@
     }
 
     /// Works on the queue of those that wait for a place at a service.
-    pub(crate) fn with_turns<Outcome>(
+    pub(crate) fn with_slot_queue<Outcome>(
         &self,
         service: &ServiceName,
         work: impl FnOnce(&mut PlaceTurns) -> Outcome,
@@ -244,7 +240,7 @@
 
     /// A request ended without ever having had a place. One that no back end may serve says
     /// nothing of how the places that there are were shared out.
-    pub(crate) fn note_missed(&self, seeker: &PlaceSeeker) {
+    pub(crate) fn note_unserved(&self, seeker: &PlaceSeeker) {
         let (service, regions) = (seeker.service(), &seeker.request().regions);
         let now = self.now();
         let mut state = self.state.lock().expect("not poisoned");
@@ -295,7 +291,7 @@
 }
 
 /// A place on a back end. Dropping it without an outcome says nothing of the back end.
-pub struct Place {
+pub struct SlotPermit {
     pools: Arc<ServicePools>,
     back_end: Arc<BackEnd>,
     /// Whose request it was taken for.
@@ -305,7 +301,7 @@
     _running: RunningInZone,
 }
 
-impl Place {
+impl SlotPermit {
     /// The back end.
     pub fn back_end(&self) -> &BackEnd {
         &self.back_end
@@ -328,7 +324,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for SlotPermit {
     fn drop(&mut self) {
         if !self.ended {
             let outcome = AttemptOutcome::Abandoned;
--- a/crates/sloetrail-serving/src/directory_interest.rs
+++ b/crates/sloetrail-serving/src/subset_demand.rs
@@ -32,13 +32,13 @@
 
 /// How many rows of the directory a node wants.
 #[derive(Debug)]
-pub(crate) struct DirectoryInterest {
+pub(crate) struct SubsetDemand {
     wanted: watch::Sender<usize>,
     /// How many were wanted when the directory was read last.
     granted: AtomicUsize,
 }
 
-impl Default for DirectoryInterest {
+impl Default for SubsetDemand {
     fn default() -> Self {
         let (wanted, _) = watch::channel(ROWS_AT_FIRST);
         Self {
@@ -48,21 +48,21 @@
     }
 }
 
-impl DirectoryInterest {
+impl SubsetDemand {
     /// How many rows are wanted, whenever that changes.
     pub(crate) fn wanted(&self) -> watch::Receiver<usize> {
         self.wanted.subscribe()
     }
 
     /// Every back end is wanted from now on.
-    pub(crate) fn want_all(&self) {
+    pub(crate) fn demand_all(&self) {
         self.wanted
             .send_if_modified(|wanted| std::mem::replace(wanted, ALL) != ALL);
     }
 
     /// More are wanted than there are. Asked again before the directory has been read, it
     /// changes nothing.
-    pub(crate) fn want_more(&self) {
+    pub(crate) fn demand_more(&self) {
         let granted = self.granted.load(Ordering::Relaxed);
         self.wanted.send_if_modified(|wanted| {
             let was_read = granted >= *wanted && *wanted != ALL;
@@ -73,16 +73,16 @@
         });
     }
 
-    /// The directory was read when so many rows were wanted; all of them if `is_whole`.
-    pub(crate) fn grant(&self, wanted: usize, is_whole: bool) {
-        let granted = if is_whole { 0 } else { wanted };
+    /// The directory was read when so many rows were wanted; all of them if `covers_all`.
+    pub(crate) fn grant(&self, wanted: usize, covers_all: bool) {
+        let granted = if covers_all { 0 } else { wanted };
         self.granted.store(granted, Ordering::Relaxed);
     }
 }
 
 /// Wants more of the directory while a service has too few back ends in the part that is held.
-pub(crate) fn keep_enough(
-    interest: Arc<DirectoryInterest>,
+pub(crate) fn watch_subset_coverage(
+    interest: Arc<SubsetDemand>,
     topology: Topology,
     mut directory: watch::Receiver<Arc<Directory>>,
     mut in_force: watch::Receiver<Arc<InForce>>,
@@ -98,10 +98,10 @@
             }
             let held = directory.borrow_and_update().clone();
             let configuration = in_force.borrow_and_update().configuration.clone();
-            let has_enough = held.is_whole
+            let has_enough = held.covers_all
                 || configuration.is_none_or(|known| has_enough(&held, &known, &topology));
             if !has_enough {
-                interest.want_more();
+                interest.demand_more();
             }
         }
     });
--- a/crates/sloetrail-serving/src/directory_interest/tests.rs
+++ b/crates/sloetrail-serving/src/subset_demand/tests.rs
@@ -1,4 +1,4 @@
-use super::{ALL, DirectoryInterest, ROWS_AT_FIRST, has_enough_of};
+use super::{ALL, ROWS_AT_FIRST, SubsetDemand, has_enough_of};
 use crate::back_end::BackEnd;
 use crate::directory::Directory;
 use sloetrail_types::{EngineId, ServiceName, Topology, ZoneName};
@@ -6,32 +6,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn wanted(interest: &DirectoryInterest) -> usize {
+fn wanted(interest: &SubsetDemand) -> usize {
     *interest.wanted().borrow()
 }
 
 /// Many requests find no place in the moment before the directory is read again.
 #[test]
 fn more_is_wanted_once_for_each_time_that_the_directory_was_read() {
-    let interest = DirectoryInterest::default();
-    interest.want_more();
+    let interest = SubsetDemand::default();
+    interest.demand_more();
     assert_eq!(wanted(&interest), ROWS_AT_FIRST, "nothing was read so far");
     interest.grant(ROWS_AT_FIRST, false);
     for _ in 0..100 {
-        interest.want_more();
+        interest.demand_more();
     }
     assert_eq!(wanted(&interest), 2 * ROWS_AT_FIRST);
 }
 
 #[test]
 fn there_is_no_more_than_all() {
-    let interest = DirectoryInterest::default();
+    let interest = SubsetDemand::default();
     interest.grant(ROWS_AT_FIRST, true);
-    interest.want_more();
+    interest.demand_more();
     assert_eq!(wanted(&interest), ROWS_AT_FIRST);
-    interest.want_all();
+    interest.demand_all();
     interest.grant(ALL, false);
-    interest.want_more();
+    interest.demand_more();
     assert_eq!(wanted(&interest), ALL);
 }
 
