--- a/crates/sloetrail-serving/src/back_end.rs
+++ b/crates/sloetrail-serving/src/back_end.rs
@@ -6,108 +6,101 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// One life of a back end, as the directory lists it.
+/// One incarnation of a back end, as the directory lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackEnd {
-    /// This life's id; a restart has another, also under the same name.
+    /// The incarnation's id. A restart gets a new one, even under the same name.
     pub id: EngineId,
-    /// What it calls itself; a restart may have the same name.
+    /// The name that the back end gives itself; a restart may reuse it.
     pub instance: String,
-    /// When this life began, in Unix milliseconds of its own clock, if it tells. Lives of one
-    /// name are told apart by it, but not put in order: the clock may have jumped.
+    /// Start time in Unix milliseconds of the back end's clock, if reported. It distinguishes
+    /// incarnations with the same name but doesn't order them: the clock may have jumped.
     pub started_ms: Option<u64>,
-    /// The service that it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
     pub address: SocketAddr,
-    /// Its zone.
     pub zone: ZoneName,
-    /// Requests that it runs at a time.
+    /// The number of requests that it runs concurrently.
     pub slots: usize,
-    /// True if it takes no new work.
+    /// True if it accepts no new work.
     pub draining: bool,
-    /// How much longer it was cold when it wrote its row; zero once it is warm.
+    /// The remaining cold time when the row was written; zero if warm.
     pub cold_left: Duration,
-    /// The version of each model's weights that it uses.
+    /// The weight version in use, by model.
     pub versions: BTreeMap<String, WeightVersion>,
-    /// The version of its software, if it tells one.
+    /// The software version, if reported.
     pub software: Option<String>,
 }
 
-/// Requests at a time that a row may tell: far more than a back end runs, and few enough that sums
-/// over all back ends stay in range.
-const SLOTS_MOST: usize = 100_000;
-/// How long a back end may be cold: a day.
-const COLD_MOST: Duration = Duration::from_secs(86_400);
+/// The largest accepted slot count. It keeps sums over all back ends from overflowing.
+const MAX_SLOTS: usize = 100_000;
+const MAX_COLD_TIME: Duration = Duration::from_secs(86_400);
 
 impl BackEnd {
-    /// The back end, if its figures are those of one. Rows may come from other writers: sums with
-    /// 2^64 places ended the owner that read them.
+    /// Returns the back end if its numbers are in range. Rows may come from other writers, and
+    /// huge numbers would overflow sums over back ends.
     ///
     /// # Errors
     ///
-    /// If a figure is out of range.
+    /// If the slot count or the cold time is out of range.
     pub fn checked(self) -> Result<Self, DialectError> {
-        let is_sound = (1..=SLOTS_MOST).contains(&self.slots) && self.cold_left <= COLD_MOST;
-        match is_sound {
+        let is_valid = (1..=MAX_SLOTS).contains(&self.slots) && self.cold_left <= MAX_COLD_TIME;
+        match is_valid {
             true => Ok(self),
             false => Err(DialectError {
-                message: "a figure is out of range".to_owned(),
+                message: "slots must be 1 to 100000, and the remaining cold time at most one day"
+                    .to_owned(),
             }),
         }
     }
 }
 
-/// What an engine says of itself when asked.
+/// The status that an engine reports on request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineStatus {
-    /// The version of each model's weights that it uses.
+    /// The weight version in use, by model.
     pub versions: BTreeMap<String, WeightVersion>,
-    /// True if an order is under way.
+    /// True while the engine carries out an order.
     pub busy: bool,
-    /// How many orders it has taken in this life.
+    /// The number of orders accepted in this incarnation.
     pub orders_taken: u64,
-    /// When the life began that answers, if it tells.
+    /// Start time of the answering incarnation in Unix milliseconds, if reported.
     pub started_ms: Option<u64>,
 }
 
-/// What becomes of running samples when an engine changes its weights.
+/// What happens to running samples when an engine changes its weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionChange {
-    /// They go on under the new weights.
+    /// Samples continue with the new weights.
     Continue,
-    /// The change waits until they have ended.
+    /// The change waits until running samples have finished.
     Wait,
 }
 
-/// An order to use a version of a model's weights.
+/// An order to switch a model to a weight version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionOrder {
-    /// The model.
     pub model: String,
-    /// The version.
     pub version: WeightVersion,
-    /// What becomes of running samples.
     pub change: VersionChange,
-    /// Who gives the order: one name for each machine.
+    /// The machine that gives the order.
     pub holder: String,
-    /// The epoch under which the holder gives it.
+    /// The epoch of the holder's lease.
     pub fence: u64,
-    /// How many orders the engine must have taken before this one.
+    /// The number of orders that the engine must have accepted before this one.
     pub orders_taken: u64,
 }
 
 /// An engine's answer to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It is being carried out.
+    /// The engine carries out the order.
     Accepted,
     /// The engine uses that version already.
     AlreadyInForce,
-    /// Another order is under way, or the count of orders differs.
+    /// Another order is in progress, or the order count differs.
     Conflict,
     /// The engine has seen a higher fence.
     Fenced,
-    /// It is refused for another reason.
+    /// The engine refuses the order for another reason.
     Refused,
 }
--- a/crates/sloetrail-serving/src/back_end_connections.rs
+++ b/crates/sloetrail-serving/src/back_end_connections.rs
@@ -1,9 +1,9 @@
-//! The one way to send something to a back end.
+//! Sends all requests to back ends.
 //!
-//! A back end is chosen some time before a request leaves: a connection to it may have to be
-//! opened, and the process may stand still meanwhile and wake after the back end has left or
-//! its zone was evacuated. So whatever is sent is judged once more between connecting and
-//! sending, by beliefs that were confirmed since the process last woke.
+//! Time passes between choosing a back end and sending the request: a connection may have to be
+//! opened, or the process may be suspended while the back end leaves or its zone is evacuated.
+//! Whether the back end still accepts work is therefore checked again between connecting and
+//! sending, against state that was confirmed after the process last resumed.
 
 use crate::back_end::BackEnd;
 use crate::directory::Directory;
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// The connections to back ends, and what tells whether these take work.
+/// Connections to back ends, and the state that decides whether they accept work.
 pub(crate) struct BackEndConnections {
     pool: Arc<ConnectionPool>,
     directory: watch::Receiver<Arc<Directory>>,
@@ -26,7 +26,6 @@
 }
 
 impl BackEndConnections {
-    /// No connections so far.
     pub(crate) fn new(
         directory: watch::Receiver<Arc<Directory>>,
         in_force: watch::Receiver<Arc<InForce>>,
@@ -40,18 +39,18 @@
         }
     }
 
-    /// Sends a request to a back end that takes work at the moment at which it leaves, if its
-    /// passage is open then. What the node itself asks back ends needs none.
+    /// Sends a request if the back end accepts work and the permit is still open at the moment of
+    /// sending. The node's own requests to back ends need no permit.
     pub(crate) async fn send(
         &self,
         back_end: &BackEnd,
         request: Request<WholeBody>,
-        passage: Option<&Passage>,
+        permit: Option<&Passage>,
         reuse: Reuse,
         deadline: BootInstant,
     ) -> Result<Exchange, SendFailure> {
-        let takes_work = || self.takes_work(back_end) && passage.is_none_or(Passage::is_open);
-        // Before connecting too: a connection that is not used costs the back end as much.
+        let takes_work = || self.takes_work(back_end) && permit.is_none_or(Passage::is_open);
+        // Checked before connecting too: an unused connection still costs the back end resources.
         let sent = match takes_work() {
             true => {
                 let (pool, address) = (&self.pool, back_end.address);
@@ -60,34 +59,34 @@
             false => Err(SendFailure::HeldBack),
         };
         if matches!(sent, Err(SendFailure::HeldBack)) {
-            // Who chooses back ends may be about to learn what has held this one back.
+            // Lets the task that selects back ends process the update that rejected this one.
             tokio::task::yield_now().await;
         }
         sent
     }
 
-    /// True if a back end, which was chosen some time ago, is known to take work now.
+    /// True if the back end is listed, isn't leaving and isn't in an evacuated zone.
     fn takes_work(&self, back_end: &BackEnd) -> bool {
         if !self.pause_guard.is_settled() {
             return false;
         }
         let directory = self.directory.borrow();
         let listed = directory.back_ends.get(&back_end.id);
-        let stays = listed.is_some_and(|listed| !listed.draining);
-        stays && !self.in_force.borrow().evacuations.covers(&back_end.zone)
+        let is_active = listed.is_some_and(|listed| !listed.draining);
+        is_active && !self.in_force.borrow().evacuations.covers(&back_end.zone)
     }
 
-    /// True if a connection to a back end rests, over which a request may leave at once.
+    /// True if an idle connection to the back end is available.
     pub(crate) fn has_resting(&self, back_end: &BackEnd) -> bool {
         self.pool.has_resting(back_end.address)
     }
 
-    /// Closes every connection that rests at an address.
+    /// Closes all idle connections to an address.
     pub(crate) fn forget(&self, address: SocketAddr) {
         self.pool.forget(address);
     }
 
-    /// Drops what is too old to be used; called now and then.
+    /// Drops connections that have been idle for too long. Called periodically.
     pub(crate) fn sweep(&self) {
         self.pool.sweep();
     }
--- a/crates/sloetrail-serving/src/directory.rs
+++ b/crates/sloetrail-serving/src/directory.rs
@@ -1,4 +1,4 @@
-//! The back ends as the platform's directory lists them.
+//! Decodes the platform's directory table into back ends.
 
 use crate::back_end::BackEnd;
 use crate::dialect::Dialect;
@@ -15,78 +15,76 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// What a row said when it was read last.
+/// A directory row as last read.
 #[derive(Clone, Debug)]
 struct KnownRow {
     version: RowVersion,
-    /// The back end that it names; nothing if it cannot be read.
+    /// None if the row can't be decoded.
     back_end: Option<Arc<BackEnd>>,
-    /// The life that it named last, whether or not it can be read now.
-    last_life: Option<EngineId>,
+    /// The last incarnation that the row named, even if the row can't be decoded now.
+    last_incarnation: Option<EngineId>,
 }
 
-/// Every back end that is listed.
+/// The listed back ends.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    /// The back ends by the ids of their lives.
+    /// Back ends by incarnation id.
     pub back_ends: BTreeMap<EngineId, Arc<BackEnd>>,
-    /// The version up to which changes are taken in.
+    /// The version up to which changes are applied.
     pub version: RowVersion,
-    /// True if no back end is left out that the table lists.
+    /// True if it has every row of the table.
     pub(crate) covers_all: bool,
-    /// Which part of the directory it is; nothing before it was read.
+    /// The key ranges that it has; None before the first read.
     ranges: Option<KeyRanges>,
-    /// How many rows the table has, as far as the part that is held tells.
+    /// The number of rows in the table, estimated from the subset.
     pub(crate) total_rows: usize,
-    /// Until when back ends are cold that said so.
+    /// End of the cold time of back ends whose rows report one.
     cold_until: BTreeMap<EngineId, BootInstant>,
-    /// The rows by their keys. One that cannot be read is not read again until it changes. They are
-    /// shared from one directory to the next: with 890 rows a change of one of them takes 0.35 to 0.56 ms,
-    /// where a copy of the keys and lives for each directory took 0.72 to 0.79 (release build, beside other
-    /// work).
+    /// Rows by key. Unchanged rows are shared with the previous directory and not decoded again,
+    /// even if decoding failed.
     rows: BTreeMap<Arc<str>, Arc<KnownRow>>,
-    /// Lives after which another one began under the same name. They have ended, and nothing
-    /// that is said of them later makes them come back.
+    /// Incarnations that were replaced under the same name. Later rows never restore them.
     ended: Arc<EndedLives>,
 }
 
 impl Directory {
-    /// The back ends of a service.
     pub fn of_service(&self, service: &ServiceName) -> impl Iterator<Item = &Arc<BackEnd>> {
         self.back_ends
             .values()
             .filter(move |back_end| back_end.service == *service)
     }
 
-    /// How many back ends say that they are cold.
+    /// The number of back ends that report being cold.
     pub(crate) fn cold_count(&self, now: BootInstant) -> usize {
         let untils = self.cold_until.values();
         untils.filter(|until| **until > now).count()
     }
 
-    /// Until when a back end is cold; nothing if it is warm. Either its row said so, and the
-    /// time counts from when that was read, which is no sooner than when it was written; or
-    /// an evacuation of its zone was withdrawn: the news of that may come before the news
-    /// that it is cold, so it counts as cold for as long as after a start (`lasts`).
+    /// Returns the end of a back end's cold time; None if it is warm.
+    ///
+    /// The cold time in a row counts from when the row was read. After an evacuation of the zone
+    /// is withdrawn, the back end counts as cold for `cold_duration` as after a start, because
+    /// its own report of being cold may arrive later.
     pub(crate) fn cold_until(
         &self,
         back_end: &BackEnd,
         evacuations: &Evacuations,
-        lasts: Duration,
+        cold_duration: Duration,
     ) -> Option<BootInstant> {
-        let told = self.cold_until.get(&back_end.id).copied();
+        let reported = self.cold_until.get(&back_end.id).copied();
         let withdrawn_at = evacuations.withdrawn_at(&back_end.zone);
-        let returning = withdrawn_at.map(|at| at + lasts);
-        told.max(returning)
+        let after_evacuation = withdrawn_at.map(|at| at + cold_duration);
+        reported
+            .max(after_evacuation)
             .filter(|until| *until > BootInstant::now())
     }
 
-    /// Lives after which another one began under the same name.
+    /// Incarnations that were replaced under the same name.
     pub(crate) fn ended(&self) -> &Arc<EndedLives> {
         &self.ended
     }
 
-    /// The directory after a change of the table. Only rows that changed are read.
+    /// Returns the directory for a new view of the table. Only changed rows are decoded.
     fn updated(&self, view: &TableView, dialect: &dyn Dialect) -> Self {
         let mut next = Self {
             version: view.version,
@@ -101,32 +99,32 @@
             let known = self.rows.get_key_value(key.as_str());
             match known {
                 Some((key, known)) if known.version == row.version => {
-                    next.keep(Arc::clone(key), Arc::clone(known), self, now);
+                    next.retain_row(Arc::clone(key), Arc::clone(known), self, now);
                 }
                 known => {
                     let known = known.map(|(_, known)| known);
-                    next.take(key, row, known, self, (dialect, now));
+                    next.apply_row(key, row, known, self, (dialect, now));
                 }
             }
         }
         next
     }
 
-    /// Takes over what a row said that has not changed.
-    fn keep(&mut self, key: Arc<str>, known: Arc<KnownRow>, before: &Self, now: BootInstant) {
+    /// Copies an unchanged row and its back end from the previous directory.
+    fn retain_row(&mut self, key: Arc<str>, known: Arc<KnownRow>, before: &Self, now: BootInstant) {
         if let Some(back_end) = &known.back_end {
-            let life = &back_end.id;
-            let cold_until = before.cold_until.get(life).copied();
+            let id = &back_end.id;
+            let cold_until = before.cold_until.get(id).copied();
             if let Some(until) = cold_until.filter(|until| *until > now) {
-                self.cold_until.insert(life.clone(), until);
+                self.cold_until.insert(id.clone(), until);
             }
-            self.back_ends.insert(life.clone(), Arc::clone(back_end));
+            self.back_ends.insert(id.clone(), Arc::clone(back_end));
         }
         self.rows.insert(key, known);
     }
 
-    /// Takes in a row that is new or has changed.
-    fn take(
+    /// Applies a new or changed row.
+    fn apply_row(
         &mut self,
         key: &str,
         row: &Row,
@@ -134,21 +132,21 @@
         before: &Self,
         (dialect, now): (&dyn Dialect, BootInstant),
     ) {
-        let last_life = known.and_then(|known| known.last_life.clone());
-        let back_end = read(dialect, key, &row.value);
+        let last_incarnation = known.and_then(|known| known.last_incarnation.clone());
+        let back_end = decode(dialect, key, &row.value);
         if let (Some(known), Some(back_end)) = (known, &back_end)
             && self.ended.end_of(&back_end.id).is_some()
         {
-            // News of an older life, written late: the newer one is there all the same.
-            let stays = KnownRow {
+            // A late write of a replaced incarnation: the newer one stays listed.
+            let current = KnownRow {
                 version: row.version,
                 ..KnownRow::clone(known)
             };
-            return self.keep(Arc::from(key), Arc::new(stays), before, now);
+            return self.retain_row(Arc::from(key), Arc::new(current), before, now);
         }
-        let life = back_end.as_ref().map(|back_end| back_end.id.clone());
-        if let (Some(last), Some(life)) = (&last_life, &life)
-            && last != life
+        let incarnation = back_end.as_ref().map(|back_end| back_end.id.clone());
+        if let (Some(last), Some(incarnation)) = (&last_incarnation, &incarnation)
+            && last != incarnation
         {
             let was_leaving = before
                 .back_ends
@@ -159,7 +157,7 @@
                 false => LifeEnd::Crashed,
             };
             events::emit(&Event::BackEndRestarted {
-                back_end: life.as_str(),
+                back_end: incarnation.as_str(),
                 before: last.as_str(),
                 planned: was_leaving,
             });
@@ -171,19 +169,19 @@
                 let cold_until = now + back_end.cold_left;
                 self.cold_until.insert(back_end.id.clone(), cold_until);
             }
-            let life = back_end.id.clone();
-            self.back_ends.insert(life, Arc::clone(back_end));
+            let id = back_end.id.clone();
+            self.back_ends.insert(id, Arc::clone(back_end));
         }
         let known = KnownRow {
             version: row.version,
-            last_life: life.or(last_life),
+            last_incarnation: incarnation.or(last_incarnation),
             back_end,
         };
         self.rows.insert(Arc::from(key), Arc::new(known));
     }
 }
 
-fn read(dialect: &dyn Dialect, key: &str, value: &[u8]) -> Option<BackEnd> {
+fn decode(dialect: &dyn Dialect, key: &str, value: &[u8]) -> Option<BackEnd> {
     match dialect.back_end(key, value) {
         Ok(back_end) => Some(back_end),
         Err(error) => {
@@ -197,32 +195,32 @@
     }
 }
 
-/// Turns the directory's table into typed back ends until every receiver is gone, and
-/// tells how many there are. The second receiver is told when each view was asked for,
-/// once its back ends can be seen.
+/// Decodes each view of the directory table until every receiver is dropped, and updates the
+/// fleet size. The second receiver gets the request time of each view after its back ends are
+/// published.
 pub fn watch_directory(
     mut view: ViewReceiver,
     dialect: Arc<dyn Dialect>,
     fleet: FleetSize,
 ) -> (watch::Receiver<Arc<Directory>>, LastApplied) {
     let (sender, receiver) = watch::channel(Arc::new(Directory::default()));
-    let (taken_in, taken_in_at) = watch::channel(view.borrow().requested_at);
+    let (applied, last_applied) = watch::channel(view.borrow().requested_at);
     tokio::spawn(async move {
         while view.changed().await.is_ok() && !sender.is_closed() {
             let table = view.borrow_and_update().clone();
             let current = sender.borrow().clone();
-            // Who asked for more waits for the answer also if it brings no row.
-            let has_other_part = current.ranges.as_ref() != Some(&table.ranges);
-            if table.version != current.version || has_other_part {
+            // Published even without new rows: whoever demanded more of the directory waits for it.
+            let has_other_ranges = current.ranges.as_ref() != Some(&table.ranges);
+            if table.version != current.version || has_other_ranges {
                 let next = current.updated(&table, &*dialect);
                 log_differences(&current, &next);
                 fleet.set_back_ends(next.total_rows);
                 sender.send_replace(Arc::new(next));
             }
-            taken_in.send_replace(table.requested_at);
+            applied.send_replace(table.requested_at);
         }
     });
-    (receiver, taken_in_at)
+    (receiver, last_applied)
 }
 
 fn log_differences(before: &Directory, after: &Directory) {
--- a/crates/sloetrail-serving/src/directory_index.rs
+++ b/crates/sloetrail-serving/src/directory_index.rs
@@ -1,14 +1,12 @@
-//! Which parts of a large directory a node holds.
+//! Divides a large directory into key ranges, of which each node reads a few.
 //!
-//! A node sends to a handful of back ends, and a directory of ten thousand takes 3.3 MB to read
-//! and 25 MB to hold. So a node of a large fleet reads some ranges of its keys alone. The ranges
-//! are the same for all nodes: an index row tells where each begins. Which of them a node
-//! holds follows from rendezvous hashing of its name, so that nodes spread over all back ends,
-//! and one that wants more goes on in an order that is its own.
+//! A node sends to a handful of back ends and needs only part of a large directory. An index row
+//! divides the keys into the same ranges for all nodes. Each node picks its ranges by rendezvous
+//! hashing of its name, so that nodes spread over all back ends and a node that needs more rows
+//! keeps the ranges it has.
 //!
-//! The index is a hint. Whatever it says, its ranges cover every key once, and a row that was
-//! written or dropped since is found in the range in which its key lies. Only how evenly nodes
-//! are spread depends on how old it is.
+//! The index is a hint. Its ranges cover every key exactly once, so rows written since are found
+//! in the range of their key. An outdated index only makes the ranges uneven.
 
 use crate::table::KeyRange;
 use serde::{Deserialize, Serialize};
@@ -16,24 +14,23 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// The most ranges: with 250 the row has some 4 KB, a sixteenth of what a table takes, and a
-/// node of a directory of ten thousand rows holds fifteen of them.
-const RANGES_MOST: usize = 250;
+/// Limits the size of the index row.
+const MAX_RANGES: usize = 250;
 
-/// Where the ranges of a directory begin.
+/// The boundaries of a directory's key ranges.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct DirectoryIndex {
-    /// Rows of the directory when the index was made.
+    /// The number of rows in the directory when the index was built.
     pub(crate) rows: usize,
-    /// The first keys of all ranges but the first one, rising.
+    /// The first keys of all ranges except the first, in ascending order.
     starts: Vec<String>,
 }
 
 impl DirectoryIndex {
-    /// The index of a directory with these keys, which rise.
+    /// Builds the index of a directory from its keys in ascending order.
     pub(crate) fn from_keys<'a>(keys: impl ExactSizeIterator<Item = &'a String>) -> Self {
         let rows = keys.len();
-        let range_rows = rows.div_ceil(RANGES_MOST).max(1);
+        let range_rows = rows.div_ceil(MAX_RANGES).max(1);
         let starts = keys.step_by(range_rows).skip(1);
         Self {
             rows,
@@ -41,34 +38,33 @@
         }
     }
 
-    /// The index that a row holds; nothing if it is none, or one that no node would write.
+    /// Decodes an index row; None if it is malformed, unsorted or has too many ranges.
     pub(crate) fn decode(value: &[u8]) -> Option<Self> {
         let index: Self = serde_json::from_slice(value).ok()?;
-        let is_rising = index.starts.is_sorted_by(|left, right| left < right);
-        let is_sound = is_rising && index.starts.len() < RANGES_MOST;
-        is_sound.then_some(index)
+        let is_ascending = index.starts.is_sorted_by(|left, right| left < right);
+        let is_valid = is_ascending && index.starts.len() < MAX_RANGES;
+        is_valid.then_some(index)
     }
 
-    /// The row's value.
     pub(crate) fn encode(&self) -> Vec<u8> {
-        // Numbers and texts can always be written.
+        // Serializing numbers and strings can't fail.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// True if a directory of so many rows is spread otherwise than the index tells.
+    /// True if the directory has more than doubled or halved since the index was built.
     pub(crate) fn is_outdated(&self, rows: usize) -> bool {
         rows > self.rows.saturating_mul(2) || rows < self.rows / 2
     }
 
-    /// The ranges that a node holds which wants so many rows.
-    pub(crate) fn ranges_for(&self, node: &str, rows: usize) -> KeyRanges {
+    /// Picks a node's ranges, enough for about `target_rows` rows.
+    pub(crate) fn ranges_for(&self, node: &str, target_rows: usize) -> KeyRanges {
         let count = self.starts.len() + 1;
         let per_range = self.rows.div_ceil(count).max(1);
         let mut order: Vec<usize> = (0..count).collect();
         order.sort_by_key(|range| Reverse(rendezvous_weight(node, &range.to_string())));
-        order.truncate(rows.div_ceil(per_range));
-        let held: BTreeSet<usize> = order.into_iter().collect();
-        let ranges = held.into_iter().map(|range| KeySpan {
+        order.truncate(target_rows.div_ceil(per_range));
+        let chosen: BTreeSet<usize> = order.into_iter().collect();
+        let ranges = chosen.into_iter().map(|range| KeySpan {
             from: match range {
                 0 => String::new(),
                 range => self.starts[range - 1].clone(),
@@ -77,16 +73,16 @@
         });
         KeyRanges {
             spans: ranges.collect(),
-            of: count,
+            total: count,
         }
     }
 }
 
-/// Keys from one up to another.
+/// A half-open range of keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct KeySpan {
     from: String,
-    /// The first key after it; nothing means no end.
+    /// Exclusive; None if unbounded.
     to: Option<String>,
 }
 
@@ -97,58 +93,58 @@
     }
 }
 
-/// The ranges of keys that a view holds.
+/// The key ranges of a view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct KeyRanges {
-    /// By rising keys.
+    /// In ascending order of keys.
     spans: Vec<KeySpan>,
-    /// Of how many ranges they are.
-    of: usize,
+    /// The number of ranges that the directory is divided into.
+    total: usize,
 }
 
 impl KeyRanges {
-    /// Every key.
     pub(crate) fn all_keys() -> Self {
         Self {
             spans: vec![KeySpan {
                 from: String::new(),
                 to: None,
             }],
-            of: 1,
+            total: 1,
         }
     }
 
-    /// True if every key is held.
     pub(crate) fn covers_all(&self) -> bool {
-        self.spans.len() >= self.of
+        self.spans.len() >= self.total
     }
 
-    /// True if a key is held.
     pub(crate) fn contains(&self, key: &str) -> bool {
         let after = self.spans.partition_point(|span| span.from.as_str() <= key);
         after > 0 && self.spans[after - 1].contains(key)
     }
 
-    /// As many of these ranges as hold so many rows, if they hold `held` together; a node
-    /// always leaves out the same ones.
-    pub(crate) fn truncated(&self, node: &str, wanted: usize, held: usize) -> Self {
-        let per_range = held.div_ceil(self.spans.len().max(1)).max(1);
+    /// Keeps enough of these ranges for about `target_rows` rows, given that they have `rows`
+    /// together. The choice is stable for a node.
+    pub(crate) fn truncated(&self, node: &str, target_rows: usize, rows: usize) -> Self {
+        let per_range = rows.div_ceil(self.spans.len().max(1)).max(1);
         let mut spans = self.spans.clone();
         spans.sort_by_key(|span| Reverse(rendezvous_weight(node, &span.from)));
-        spans.truncate(wanted.div_ceil(per_range));
+        spans.truncate(target_rows.div_ceil(per_range));
         spans.sort_by(|left, right| left.from.cmp(&right.from));
-        Self { spans, of: self.of }
+        Self {
+            spans,
+            total: self.total,
+        }
     }
 
-    /// How many rows there are in all, if so many are held.
-    pub(crate) fn total_rows(&self, held: usize) -> usize {
+    /// Estimates the rows of the table from the rows in these ranges.
+    pub(crate) fn total_rows(&self, rows: usize) -> usize {
         match self.spans.is_empty() {
-            true => held,
-            false => held * self.of / self.spans.len(),
+            true => rows,
+            false => rows * self.total / self.spans.len(),
         }
     }
 
-    /// The ranges of a table's empty partition.
+    /// These ranges as ranges of a table's default partition.
     pub(crate) fn in_table(&self, table: &str) -> impl Iterator<Item = KeyRange> {
         self.spans.iter().map(move |span| KeyRange {
             from: span.from.clone(),
--- a/crates/sloetrail-serving/src/follow.rs
+++ b/crates/sloetrail-serving/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following a table: its rows in memory, kept up to date by its changes.
+//! Keeps an in-memory view of a table up to date by long-polling its changes.
 
 mod poll_timing;
 mod subset;
@@ -17,33 +17,33 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// An answer is late that comes this much after the time for which it may be held, and a
-/// pause is that lasts so much longer than it should.
-const LATE_ANSWER: Duration = Duration::from_millis(400);
+/// A poll that ends this long after its timeout, or a delay that overruns by this much, means that
+/// this process or the table was suspended.
+const LATENESS_THRESHOLD: Duration = Duration::from_millis(400);
 
-/// The first question after a late answer may go out before the rest of the process has
-/// noticed that it stood still, and then does not count as asked since.
-const HURRIED_QUESTIONS: u32 = 2;
+/// Polls without a long-poll wait after a suspension. The first may be sent before the rest of the
+/// process detects the suspension, and is then not counted as sent after it.
+const IMMEDIATE_POLLS: u32 = 2;
 
-/// A table's rows as of one moment.
+/// The rows of a table at one version.
 #[derive(Clone, Debug)]
 pub struct TableView {
-    /// The rows of the partition that is followed, by key.
+    /// Rows of the followed partition by key.
     pub rows: BTreeMap<String, Row>,
-    /// Which keys these are; others are left out.
+    /// The key ranges that the view covers.
     pub(crate) ranges: KeyRanges,
-    /// The version up to which changes are taken in.
+    /// The version up to which changes are applied.
     pub version: RowVersion,
-    /// When the table last confirmed the view; nothing before the first time.
+    /// When the last answer arrived; None before the first one.
     pub confirmed_at: Option<BootInstant>,
-    /// When the question was asked that was answered last.
+    /// When the request for the last answer was sent.
     pub requested_at: Option<BootInstant>,
-    /// Grows each time that the table could not be asked.
+    /// The number of requests that failed because the table was unavailable.
     pub interruptions: u64,
 }
 
 impl TableView {
-    /// The view of a table that was not read yet.
+    /// The view before the first read.
     pub(crate) fn empty() -> Self {
         Self {
             rows: BTreeMap::new(),
@@ -55,100 +55,97 @@
         }
     }
 
-    /// How old the view is at most; nothing if it was never confirmed.
+    /// The maximum age of the view; None before the first answer.
     pub fn age(&self, now: BootInstant) -> Option<Duration> {
         let confirmed_at = self.confirmed_at?;
         Some(now.saturating_duration_since(confirmed_at))
     }
 }
 
-/// A view that is kept up to date.
 pub type ViewReceiver = watch::Receiver<Arc<TableView>>;
 
-/// When the question was asked whose answer was taken in last. The view itself, if it
-/// were held, would have to be copied at each change.
+/// When the request for the answer applied last was sent. Receivers need not keep a reference to
+/// the view, which would force a copy of it on each change.
 pub type LastApplied = watch::Receiver<Option<BootInstant>>;
 
-/// Follows one partition of a table until every receiver is dropped.
+/// Follows a partition of a table until every receiver is dropped.
 pub fn follow(
     table: Arc<dyn Table>,
     name: impl Into<String>,
     partition: impl Into<String>,
-    pace: PollTiming,
+    timing: PollTiming,
 ) -> ViewReceiver {
-    start(table, (name.into(), partition.into()), pace, None)
+    start(table, (name.into(), partition.into()), timing, None)
 }
 
-/// Follows as much of the directory as a node wants, until every receiver is dropped.
+/// Follows the demanded subset of the directory until every receiver is dropped.
 pub(crate) fn follow_directory(
     table: Arc<dyn Table>,
     name: impl Into<String>,
-    pace: PollTiming,
-    held: SubsetReader,
+    timing: PollTiming,
+    subset: SubsetReader,
 ) -> ViewReceiver {
-    start(table, (name.into(), String::new()), pace, Some(held))
+    start(table, (name.into(), String::new()), timing, Some(subset))
 }
 
 fn start(
     table: Arc<dyn Table>,
     (name, partition): (String, String),
-    pace: PollTiming,
-    held: Option<SubsetReader>,
+    timing: PollTiming,
+    subset: Option<SubsetReader>,
 ) -> ViewReceiver {
     let (sender, receiver) = watch::channel(Arc::new(TableView::empty()));
     let follower = Follower {
         table,
         name,
         partition,
-        pace,
-        held,
+        timing,
+        subset,
         sender,
         interrupted: false,
-        hurried: 0,
+        immediate_polls: 0,
     };
     tokio::spawn(follower.run());
     receiver
 }
 
-/// What a step of a follower has come to.
+/// The result of one request.
 enum Progress {
-    /// The view is as the table was.
     UpToDate,
-    /// More rows are wanted than the view holds.
-    MoreWanted,
+    /// More rows are demanded than the view has.
+    NeedsMoreRows,
 }
 
 struct Follower {
     table: Arc<dyn Table>,
     name: String,
     partition: String,
-    pace: PollTiming,
-    /// Present if only a part of the rows may be wanted.
-    held: Option<SubsetReader>,
+    timing: PollTiming,
+    /// Present if the view may be a subset of the rows.
+    subset: Option<SubsetReader>,
     sender: watch::Sender<Arc<TableView>>,
     interrupted: bool,
-    /// So many of the next questions are to be answered at once, with or without changes:
-    /// the view is out of date, and who waits for it need not wait for a change.
-    hurried: u32,
+    /// The number of next polls that don't wait for a change, because the view may be outdated.
+    immediate_polls: u32,
 }
 
 impl Follower {
     async fn run(mut self) {
-        let mut held = self.held.take();
+        let mut subset = self.subset.take();
         let mut must_read_all = true;
         let mut retry = RetryPause::new();
         while !self.sender.is_closed() {
             let step = match must_read_all {
-                true => self.read_all(held.as_mut()).await,
-                false => self.read_changes(held.as_mut()).await,
+                true => self.read_all(subset.as_mut()).await,
+                false => self.read_changes(subset.as_mut()).await,
             };
             match step {
                 Ok(Progress::UpToDate) => {
                     retry.reset();
                     self.note_answer();
-                    must_read_all = self.rest(held.as_mut()).await;
+                    must_read_all = self.wait_for_next_poll(subset.as_mut()).await;
                 }
-                Ok(Progress::MoreWanted) | Err(ReadError::HistoryLost) => must_read_all = true,
+                Ok(Progress::NeedsMoreRows) | Err(ReadError::HistoryLost) => must_read_all = true,
                 Err(ReadError::Unavailable) => {
                     self.note_interruption();
                     retry.wait(&*self.table).await;
@@ -157,51 +154,49 @@
         }
     }
 
-    /// Pauses between two questions. True if the next one must be for all rows that are
-    /// wanted.
-    async fn rest(&mut self, held: Option<&mut SubsetReader>) -> bool {
-        let Some(held) = held else {
-            self.pause().await;
+    /// Delays the next poll. Returns true if all demanded rows must be read instead.
+    async fn wait_for_next_poll(&mut self, subset: Option<&mut SubsetReader>) -> bool {
+        let Some(subset) = subset else {
+            self.delay_poll().await;
             return false;
         };
         let view = Arc::clone(&self.sender.borrow());
-        if let Some(ranges) = held.fewer_ranges(&view) {
+        if let Some(ranges) = subset.reduced_ranges(&view) {
             drop(view);
-            self.hold_only(ranges);
+            self.retain_ranges(ranges);
         }
         let view = Arc::clone(&self.sender.borrow());
-        held.keep_index(&*self.table, &view).await;
-        // A view that is held while it changes is copied.
+        subset.maintain_index(&*self.table, &view).await;
+        // A change would copy a view that is still referenced.
         drop(view);
         tokio::select! {
-            () = held.wants_more() => true,
-            () = self.pause() => false,
+            () = subset.more_demanded() => true,
+            () = self.delay_poll() => false,
         }
     }
 
-    /// Lets changes gather. After an answer or a pause that took too long, because this
-    /// process or the table stood still, the next question goes out at once, and it and the
-    /// one after it are not held open.
-    async fn pause(&mut self) {
+    /// Waits for the poll delay, so that changes are batched. After a suspension of this process or
+    /// the table, the next polls don't wait for changes, and a late answer also skips the delay.
+    async fn delay_poll(&mut self) {
         let requested_at = self.sender.borrow().requested_at;
-        let late_from = self.pace.long_poll_timeout.now() + LATE_ANSWER;
+        let late_after = self.timing.long_poll_timeout.now() + LATENESS_THRESHOLD;
         let mut is_late =
-            requested_at.is_some_and(|requested_at| requested_at.elapsed() > late_from);
+            requested_at.is_some_and(|requested_at| requested_at.elapsed() > late_after);
         if !is_late {
             let began = BootInstant::now();
-            let pause = self.pace.delay.now();
-            tokio::time::sleep(pause).await;
-            is_late = began.elapsed() > pause + LATE_ANSWER;
+            let delay = self.timing.delay.now();
+            tokio::time::sleep(delay).await;
+            is_late = began.elapsed() > delay + LATENESS_THRESHOLD;
         }
         if is_late {
-            self.hurried = HURRIED_QUESTIONS;
+            self.immediate_polls = IMMEDIATE_POLLS;
         }
     }
 
-    async fn read_all(&self, held: Option<&mut SubsetReader>) -> Result<Progress, ReadError> {
+    async fn read_all(&self, subset: Option<&mut SubsetReader>) -> Result<Progress, ReadError> {
         let requested_at = BootInstant::now();
-        let (page, ranges) = match held {
-            Some(held) => held.read(&*self.table, &self.name).await?.into_parts(),
+        let (page, ranges) = match subset {
+            Some(subset) => subset.read(&*self.table, &self.name).await?.into_parts(),
             None => {
                 let range = KeyRange::all(&self.name, &self.partition);
                 let page = scan_all(&*self.table, range).await?;
@@ -219,32 +214,32 @@
 
     async fn read_changes(
         &mut self,
-        held: Option<&mut SubsetReader>,
+        subset: Option<&mut SubsetReader>,
     ) -> Result<Progress, ReadError> {
         let requested_at = BootInstant::now();
         let since = self.sender.borrow().version;
-        let wait = match self.hurried {
-            0 => self.pace.long_poll_timeout.now(),
+        let long_poll_timeout = match self.immediate_polls {
+            0 => self.timing.long_poll_timeout.now(),
             _ => Duration::ZERO,
         };
-        self.hurried = self.hurried.saturating_sub(1);
-        let more_wanted = async {
-            match held {
-                Some(held) => held.wants_more().await,
+        self.immediate_polls = self.immediate_polls.saturating_sub(1);
+        let more_demanded = async {
+            match subset {
+                Some(subset) => subset.more_demanded().await,
                 None => std::future::pending().await,
             }
         };
         let changes = tokio::select! {
-            changes = self.table.changes(&self.name, since, wait) => changes?,
-            () = more_wanted => return Ok(Progress::MoreWanted),
+            changes = self.table.changes(&self.name, since, long_poll_timeout) => changes?,
+            () = more_demanded => return Ok(Progress::NeedsMoreRows),
         };
         let partition = self.partition.clone();
         self.publish(requested_at, |view| apply(view, changes, &partition));
         Ok(Progress::UpToDate)
     }
 
-    /// Leaves out what lies outside of some ranges.
-    fn hold_only(&self, ranges: KeyRanges) {
+    /// Removes all rows outside of these ranges from the view.
+    fn retain_ranges(&self, ranges: KeyRanges) {
         self.sender.send_modify(|current| {
             let view = Arc::make_mut(current);
             view.rows.retain(|key, _| ranges.contains(key));
@@ -281,14 +276,14 @@
 
 fn apply(view: &mut TableView, changes: Changes, partition: &str) {
     let ranges = view.ranges.clone();
-    let is_held =
+    let is_in_view =
         |address: &RowAddress| address.partition == partition && ranges.contains(&address.key);
     for change in changes.changes {
         match change {
-            Change::Written(row) if is_held(&row.address) => {
+            Change::Written(row) if is_in_view(&row.address) => {
                 view.rows.insert(row.address.key.clone(), row);
             }
-            Change::Deleted(address) if is_held(&address) => {
+            Change::Deleted(address) if is_in_view(&address) => {
                 view.rows.remove(&address.key);
             }
             Change::Written(_) | Change::Deleted(_) => {}
--- a/crates/sloetrail-serving/src/follow/poll_timing.rs
+++ b/crates/sloetrail-serving/src/follow/poll_timing.rs
@@ -1,31 +1,30 @@
-//! How often tables are asked for their changes.
+//! How often tables are polled for changes.
 //!
-//! All nodes share the calls that the table allows, and no node knows how many nodes
-//! there are. The directory tells how many back ends there are, and a larger fleet of
-//! back ends has more nodes in front of it: so the time between two questions grows
-//! with the directory, up to what the bounds on news allow. The owner of a service asks
-//! as often as in a small fleet, since it waits for its engines' versions.
+//! All nodes share the call quota of the table, and none knows how many nodes there are. More back
+//! ends imply more nodes in front of them, so the poll interval grows with the directory, up to
+//! the limits on how late changes may be seen. The owner of a service always polls the directory
+//! at the minimum interval, since it waits for the weight versions of its engines.
 
 use crate::settings::ServingBounds;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-const OPERATOR_PAUSE: Duration = Duration::from_millis(5);
-const OPERATOR_WAIT_LEAST: Duration = Duration::from_secs(1);
-const OPERATOR_WAIT_PER_BACK_END: Duration = Duration::from_millis(1);
-const OPERATOR_WAIT_MOST: Duration = Duration::from_millis(2_500);
-const DIRECTORY_PAUSE_LEAST: Duration = Duration::from_millis(60);
-const DIRECTORY_PAUSE_PER_BACK_END: Duration = Duration::from_micros(500);
-/// A back end that leaves must be known to leave well within two seconds.
-const DIRECTORY_PAUSE_MOST: Duration = Duration::from_millis(900);
-const DIRECTORY_WAIT: Duration = Duration::from_secs(1);
-const LEASE_PAUSE_LEAST: Duration = Duration::from_millis(20);
-const LEASE_PAUSE_PER_BACK_END: Duration = Duration::from_micros(400);
-/// How often a lease's row is confirmed in its time, if nothing changes.
-const LEASE_CONFIRMATIONS: u32 = 3;
-
-/// What the pace of a node depends on.
+const OPERATOR_DELAY: Duration = Duration::from_millis(5);
+const MIN_OPERATOR_LONG_POLL: Duration = Duration::from_secs(1);
+const OPERATOR_LONG_POLL_PER_BACK_END: Duration = Duration::from_millis(1);
+const MAX_OPERATOR_LONG_POLL: Duration = Duration::from_millis(2_500);
+const MIN_DIRECTORY_DELAY: Duration = Duration::from_millis(60);
+const DIRECTORY_DELAY_PER_BACK_END: Duration = Duration::from_micros(500);
+/// A leaving back end must be detected well within two seconds.
+const MAX_DIRECTORY_DELAY: Duration = Duration::from_millis(900);
+const DIRECTORY_LONG_POLL: Duration = Duration::from_secs(1);
+const MIN_LEASE_DELAY: Duration = Duration::from_millis(20);
+const LEASE_DELAY_PER_BACK_END: Duration = Duration::from_micros(400);
+/// Polls within the duration of a lease while nothing changes.
+const POLLS_PER_LEASE_DURATION: u32 = 3;
+
+/// The fleet properties that the poll timing of a node depends on. Clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct FleetSize {
     state: Arc<State>,
@@ -38,18 +37,17 @@
 }
 
 impl FleetSize {
-    /// Takes in how many back ends are listed.
     pub fn set_back_ends(&self, count: usize) {
         self.state.back_ends.store(count, Ordering::Relaxed);
     }
 
-    /// A service is owned by this node until the value is dropped.
+    /// Registers ownership of a service until the guard is dropped.
     pub fn own_service(&self) -> OwnedServiceGuard {
         self.state.owned_services.fetch_add(1, Ordering::Relaxed);
         OwnedServiceGuard(self.clone())
     }
 
-    /// How many back ends are listed, as far as known.
+    /// The number of listed back ends; zero before the directory was read.
     pub fn back_ends(&self) -> usize {
         self.state.back_ends.load(Ordering::Relaxed)
     }
@@ -59,7 +57,7 @@
     }
 }
 
-/// Tells that this node owns a service.
+/// Registers ownership of a service while it exists.
 #[derive(Debug)]
 pub struct OwnedServiceGuard(FleetSize);
 
@@ -69,125 +67,118 @@
     }
 }
 
-/// A time that grows with the fleet.
+/// A duration that grows with the number of listed back ends.
 #[derive(Clone, Debug)]
 pub struct FleetScaledDuration {
-    least: Duration,
+    min: Duration,
     per_back_end: Duration,
-    most: Duration,
+    max: Duration,
     owners_use_min_interval: bool,
     fleet: FleetSize,
 }
 
 impl FleetScaledDuration {
-    /// Always the same time.
-    pub fn fixed(time: Duration) -> Self {
-        Self::scaled(&FleetSize::default(), time, Duration::ZERO, time)
+    /// A constant duration.
+    pub fn fixed(duration: Duration) -> Self {
+        Self::scaled(&FleetSize::default(), duration, Duration::ZERO, duration)
     }
 
-    /// From `least` up to `most`, by this much for each back end.
-    pub fn scaled(
-        fleet: &FleetSize,
-        least: Duration,
-        per_back_end: Duration,
-        most: Duration,
-    ) -> Self {
+    /// `per_back_end` times the number of back ends, clamped to `min` and `max`.
+    pub fn scaled(fleet: &FleetSize, min: Duration, per_back_end: Duration, max: Duration) -> Self {
         Self {
-            least,
+            min,
             per_back_end,
-            most,
+            max,
             owners_use_min_interval: false,
             fleet: fleet.clone(),
         }
     }
 
-    /// The same, but always the least time on a node that owns a service.
+    /// Uses the minimum while this node owns a service.
     #[must_use]
     pub fn min_for_owners(mut self) -> Self {
         self.owners_use_min_interval = true;
         self
     }
 
-    /// The time as of now.
+    /// The duration for the current fleet size.
     pub fn now(&self) -> Duration {
         if self.owners_use_min_interval && self.fleet.owns_service() {
-            return self.least;
+            return self.min;
         }
         let back_ends = u32::try_from(self.fleet.back_ends()).unwrap_or(u32::MAX);
-        let grown = self.per_back_end.saturating_mul(back_ends);
-        grown.clamp(self.least, self.most)
+        let scaled = self.per_back_end.saturating_mul(back_ends);
+        scaled.clamp(self.min, self.max)
     }
 }
 
-/// How often a table is asked.
+/// How often a table is polled.
 #[derive(Clone, Debug)]
 pub struct PollTiming {
-    /// The least time between two questions, so that many small changes come together.
+    /// The time between an answer and the next poll, so that small changes are batched.
     pub delay: FleetScaledDuration,
-    /// How long a question may be held open. It also bounds how old the proof is that
-    /// nothing has changed.
+    /// How long a poll may wait for a change. It also bounds the age of an unchanged view.
     pub long_poll_timeout: FleetScaledDuration,
 }
 
 impl PollTiming {
-    /// The longest time between two confirmations of an unchanged view, apart from the
-    /// time that answers take.
+    /// The longest time between two confirmations of an unchanged view, without network latency.
     pub fn max_confirmation_interval(&self) -> Duration {
         self.delay.now() + self.long_poll_timeout.now()
     }
 
-    /// A pace with this pause and the usual wait of a second.
-    pub fn with_delay(pause: Duration) -> Self {
+    /// A fixed delay with a long-poll timeout of one second.
+    pub fn with_delay(delay: Duration) -> Self {
         Self {
-            delay: FleetScaledDuration::fixed(pause),
+            delay: FleetScaledDuration::fixed(delay),
             long_poll_timeout: FleetScaledDuration::fixed(Duration::from_secs(1)),
         }
     }
 }
 
-/// The paces at which a node follows what it needs to know.
+/// The poll timing of each table that a node follows.
 #[derive(Clone, Debug)]
 pub struct PollTimings {
-    /// The operator's rows: changes are in force as soon as they are answered.
+    /// The operator's rows. Changes take effect as soon as an answer has them.
     pub operator: PollTiming,
-    /// The directory, whose rows change with each sign of life.
+    /// The directory, whose rows change with each heartbeat.
     pub directory: PollTiming,
-    /// The leases: one is seen to run out only by confirmations that its row has not
-    /// changed.
+    /// The leases. Expiry is detected only by confirmations that a lease's row hasn't changed.
     pub leases: PollTiming,
 }
 
 impl PollTimings {
-    /// The paces of a node, within its bounds.
     pub fn new(fleet: &FleetSize, bounds: &ServingBounds) -> Self {
         Self {
             operator: PollTiming {
-                delay: FleetScaledDuration::fixed(OPERATOR_PAUSE),
+                delay: FleetScaledDuration::fixed(OPERATOR_DELAY),
                 long_poll_timeout: FleetScaledDuration::scaled(
                     fleet,
-                    OPERATOR_WAIT_LEAST,
-                    OPERATOR_WAIT_PER_BACK_END,
-                    OPERATOR_WAIT_MOST,
+                    MIN_OPERATOR_LONG_POLL,
+                    OPERATOR_LONG_POLL_PER_BACK_END,
+                    MAX_OPERATOR_LONG_POLL,
                 ),
             },
             directory: PollTiming {
                 delay: FleetScaledDuration::scaled(
                     fleet,
-                    DIRECTORY_PAUSE_LEAST,
-                    DIRECTORY_PAUSE_PER_BACK_END,
-                    DIRECTORY_PAUSE_MOST,
+                    MIN_DIRECTORY_DELAY,
+                    DIRECTORY_DELAY_PER_BACK_END,
+                    MAX_DIRECTORY_DELAY,
                 )
                 .min_for_owners(),
-                long_poll_timeout: FleetScaledDuration::fixed(DIRECTORY_WAIT),
+                long_poll_timeout: FleetScaledDuration::fixed(DIRECTORY_LONG_POLL),
             },
             leases: PollTiming {
                 delay: FleetScaledDuration::scaled(
                     fleet,
-                    LEASE_PAUSE_LEAST,
-                    LEASE_PAUSE_PER_BACK_END,
+                    MIN_LEASE_DELAY,
+                    LEASE_DELAY_PER_BACK_END,
                     bounds.lease,
                 ),
-                long_poll_timeout: FleetScaledDuration::fixed(bounds.lease / LEASE_CONFIRMATIONS),
+                long_poll_timeout: FleetScaledDuration::fixed(
+                    bounds.lease / POLLS_PER_LEASE_DURATION,
+                ),
             },
         }
     }
--- a/crates/sloetrail-serving/src/follow/poll_timing/tests.rs
+++ b/crates/sloetrail-serving/src/follow/poll_timing/tests.rs
@@ -1,34 +1,34 @@
 use super::{FleetScaledDuration, FleetSize};
 use std::time::Duration;
 
-const LEAST: Duration = Duration::from_millis(60);
+const MIN: Duration = Duration::from_millis(60);
 const PER_BACK_END: Duration = Duration::from_micros(500);
-const MOST: Duration = Duration::from_millis(1_000);
+const MAX: Duration = Duration::from_millis(1_000);
 
 #[test]
-fn a_pace_grows_with_the_directory_within_its_bounds() {
+fn durations_scale_with_the_directory_within_bounds() {
     let fleet = FleetSize::default();
-    let pacing = FleetScaledDuration::scaled(&fleet, LEAST, PER_BACK_END, MOST);
-    let of = |back_ends: usize| {
+    let duration = FleetScaledDuration::scaled(&fleet, MIN, PER_BACK_END, MAX);
+    let at = |back_ends: usize| {
         fleet.set_back_ends(back_ends);
-        pacing.now()
+        duration.now()
     };
-    assert_eq!(of(0), LEAST);
-    assert_eq!(of(13), LEAST);
-    assert_eq!(of(890), Duration::from_millis(445));
-    assert_eq!(of(3_000), MOST);
+    assert_eq!(at(0), MIN);
+    assert_eq!(at(13), MIN);
+    assert_eq!(at(890), Duration::from_millis(445));
+    assert_eq!(at(3_000), MAX);
 }
 
 #[test]
-fn an_owner_asks_as_often_as_in_a_small_fleet() {
+fn owners_use_the_minimum_in_any_fleet() {
     let fleet = FleetSize::default();
     fleet.set_back_ends(3_000);
-    let pacing = FleetScaledDuration::scaled(&fleet, LEAST, PER_BACK_END, MOST).min_for_owners();
+    let duration = FleetScaledDuration::scaled(&fleet, MIN, PER_BACK_END, MAX).min_for_owners();
     let first = fleet.own_service();
     let second = fleet.own_service();
-    assert_eq!(pacing.now(), LEAST);
+    assert_eq!(duration.now(), MIN);
     drop(first);
-    assert_eq!(pacing.now(), LEAST);
+    assert_eq!(duration.now(), MIN);
     drop(second);
-    assert_eq!(pacing.now(), MOST);
+    assert_eq!(duration.now(), MAX);
 }
--- a/crates/sloetrail-serving/src/follow/subset.rs
+++ b/crates/sloetrail-serving/src/follow/subset.rs
@@ -1,4 +1,4 @@
-//! Reading the part of a large directory that a node holds.
+//! Reads the subset of a large directory that a node demands.
 
 use crate::directory_index::{DirectoryIndex, KeyRanges};
 use crate::events::{self, Event};
@@ -12,35 +12,33 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// A smaller directory is read and held whole: with a thousand rows that is 0.3 MB to read
-/// and 3 MB to hold.
-const PART_FROM: usize = 1_000;
+/// A directory with fewer rows is always read completely.
+const MIN_INDEXED_ROWS: usize = 1_000;
 
-/// Without an index, nodes that start together read a large directory one after the other
-/// over this time, until one of them has written it. All at once, 985 nodes would have 3.2 GB
-/// come over the table's link.
-const FIRST_READS_WITHIN: Duration = Duration::from_secs(4);
+/// Without an index, nodes that start together spread their complete reads of a large directory
+/// over this time, until one of them has written the index.
+const FIRST_READ_SPREAD: Duration = Duration::from_secs(4);
 
-/// A view that has grown to so many times the rows that are wanted is cut down to these. Back
-/// ends that start after the nodes come as changes, which tell every node of all of them.
-const GROWN_FACTOR: usize = 2;
+/// A view with more than this multiple of the demanded rows is reduced. Views grow because the
+/// changes have the rows of all back ends that start after the node.
+const MAX_GROWTH_FACTOR: usize = 2;
 
-/// The share of the nodes that write the index of a directory that has grown: some of them
-/// live, and few find that another one was sooner.
-const WRITERS_SHARE: f64 = 0.02;
+/// The share of nodes that write the index of a directory that has grown: enough to survive
+/// crashes, few enough to avoid most conflicts.
+const INDEX_WRITER_SHARE: f64 = 0.02;
 
-/// What is needed to read a part of a directory.
+/// Reads the demanded subset of a directory for one node.
 pub(crate) struct SubsetReader {
     node: String,
-    interest: Arc<SubsetDemand>,
-    wanted: watch::Receiver<usize>,
-    began: BootInstant,
-    /// The index of a directory that has grown since it was read.
+    demand: Arc<SubsetDemand>,
+    target_rows: watch::Receiver<usize>,
+    started_at: BootInstant,
+    /// The index that this node built because the directory has grown since it was read.
     own_index: Option<DirectoryIndex>,
     is_index_written: bool,
 }
 
-/// What was read, and which part of the directory it is.
+/// The rows that were read and the key ranges that they cover.
 pub(super) struct DirectorySubset {
     pub(super) page: Page,
     pub(super) ranges: KeyRanges,
@@ -53,53 +51,52 @@
 }
 
 impl SubsetReader {
-    /// The reading of a node, as far as it is interested.
-    pub(crate) fn new(node: impl Into<String>, interest: Arc<SubsetDemand>) -> Self {
+    pub(crate) fn new(node: impl Into<String>, demand: Arc<SubsetDemand>) -> Self {
         Self {
             node: node.into(),
-            wanted: interest.wanted(),
-            interest,
-            began: BootInstant::now(),
+            target_rows: demand.target_rows(),
+            demand,
+            started_at: BootInstant::now(),
             own_index: None,
             is_index_written: false,
         }
     }
 
-    /// Completes once more of the directory is wanted than when it was read last.
-    pub(super) async fn wants_more(&mut self) {
-        if self.wanted.changed().await.is_err() {
+    /// Completes once more rows are demanded than at the last read.
+    pub(super) async fn more_demanded(&mut self) {
+        if self.target_rows.changed().await.is_err() {
             std::future::pending().await
         }
     }
 
-    /// The ranges that are enough for a view that holds far more rows than are wanted.
-    pub(super) fn fewer_ranges(&mut self, view: &TableView) -> Option<KeyRanges> {
-        let wanted = *self.wanted.borrow();
-        let held = view.rows.len();
-        let most = match view.ranges.covers_all() {
-            true => wanted.max(PART_FROM),
-            false => wanted,
+    /// Returns fewer ranges for a view that has far more rows than demanded, None for others.
+    pub(super) fn reduced_ranges(&mut self, view: &TableView) -> Option<KeyRanges> {
+        let target = *self.target_rows.borrow();
+        let rows = view.rows.len();
+        let expected = match view.ranges.covers_all() {
+            true => target.max(MIN_INDEXED_ROWS),
+            false => target,
         };
-        if held <= most.saturating_mul(GROWN_FACTOR) {
+        if rows <= expected.saturating_mul(MAX_GROWTH_FACTOR) {
             return None;
         }
         let ranges = match view.ranges.covers_all() {
             true => {
                 let index = DirectoryIndex::from_keys(view.rows.keys());
-                let ranges = index.ranges_for(&self.node, wanted);
+                let ranges = index.ranges_for(&self.node, target);
                 self.own_index = Some(index);
                 ranges
             }
-            false => view.ranges.truncated(&self.node, wanted, held),
+            false => view.ranges.truncated(&self.node, target, rows),
         };
-        self.interest.grant(wanted, ranges.covers_all());
+        self.demand.record_read(target, ranges.covers_all());
         Some(ranges)
     }
 
-    /// Writes the index of a directory that has grown under this node's eyes, if it is one of
-    /// the nodes that do, and again whenever it is twice as large.
-    pub(super) async fn keep_index(&mut self, table: &dyn Table, view: &TableView) {
-        let is_writer = self.turn() < FIRST_READS_WITHIN.mul_f64(WRITERS_SHARE);
+    /// Writes the index of a directory that has grown since it was read, if this node is one of
+    /// the index writers, and writes it again once outdated.
+    pub(super) async fn maintain_index(&mut self, table: &dyn Table, view: &TableView) {
+        let is_writer = self.first_read_delay() < FIRST_READ_SPREAD.mul_f64(INDEX_WRITER_SHARE);
         let Some(index) = self.own_index.as_mut().filter(|_| is_writer) else {
             return;
         };
@@ -108,57 +105,60 @@
             return;
         }
         index.rows = rows;
-        // A table that cannot be read now is asked again when the directory has grown.
+        // If the read fails, the first write is retried by the next call, and a later one once the
+        // index is outdated again.
         if let Ok(known) = read_index(table).await {
             write(table, index, known.map(|(_, version)| version)).await;
             self.is_index_written = true;
         }
     }
 
-    /// Reads as much of a directory as is wanted.
+    /// Reads at least the demanded rows.
     pub(super) async fn read(
         &mut self,
         table: &dyn Table,
         name: &str,
     ) -> Result<DirectorySubset, ReadError> {
-        let wanted = *self.wanted.borrow_and_update();
-        let held = loop {
+        let target = *self.target_rows.borrow_and_update();
+        let subset = loop {
             let index = read_index(table).await?;
             if let Some((index, _)) = &index
-                && index.rows >= PART_FROM
+                && index.rows >= MIN_INDEXED_ROWS
             {
-                let ranges = index.ranges_for(&self.node, wanted);
+                let ranges = index.ranges_for(&self.node, target);
                 if !ranges.covers_all() {
                     break read_ranges(table, name, ranges).await?;
                 }
             }
             let first = table.scan(&KeyRange::all(name, "")).await?;
-            let turn = self.turn().saturating_sub(self.began.elapsed());
-            if !first.more || index.is_some() || turn.is_zero() {
+            let delay = self
+                .first_read_delay()
+                .saturating_sub(self.started_at.elapsed());
+            if !first.more || index.is_some() || delay.is_zero() {
                 let page = read_rest(table, name, first).await?;
                 write_index(table, &page.rows, index).await;
                 let ranges = KeyRanges::all_keys();
                 break DirectorySubset { page, ranges };
             }
-            tokio::time::sleep(turn).await;
+            tokio::time::sleep(delay).await;
         };
-        let covers_all = held.ranges.covers_all();
-        self.interest.grant(wanted, covers_all);
+        let covers_all = subset.ranges.covers_all();
+        self.demand.record_read(target, covers_all);
         events::emit(&Event::DirectoryRead {
-            rows: held.page.rows.len(),
+            rows: subset.page.rows.len(),
             whole: covers_all,
         });
-        Ok(held)
+        Ok(subset)
     }
 
-    /// When after its start this node reads a large directory that has no index.
-    fn turn(&self) -> Duration {
+    /// The delay after its start before this node reads a large directory without an index.
+    fn first_read_delay(&self) -> Duration {
         let share = digest(self.node.as_bytes()) as f64 / u64::MAX as f64;
-        FIRST_READS_WITHIN.mul_f64(share)
+        FIRST_READ_SPREAD.mul_f64(share)
     }
 }
 
-/// The index with its version; one that cannot be read counts as none, and is written anew.
+/// Reads the index and its version. An undecodable index counts as empty, so that it is replaced.
 async fn read_index(table: &dyn Table) -> Result<Option<(DirectoryIndex, RowVersion)>, ReadError> {
     let address = rows::directory_index();
     let Some(row) = read_row(table, &address).await? else {
@@ -169,10 +169,10 @@
         events::emit(&Event::RowUnreadable {
             table: &address.table,
             key: &address.key,
-            detail: "no index of the directory",
+            detail: "expected a directory index with rows and fewer than 250 ascending starts",
         });
     }
-    // One without rows has no ranges worth reading.
+    // An empty index has no ranges to read.
     let index = index.unwrap_or_else(|| DirectoryIndex::from_keys([].iter()));
     Ok(Some((index, row.version)))
 }
@@ -185,7 +185,7 @@
     let mut page = Page::default();
     for range in ranges.in_table(name) {
         let part = scan_all(table, range).await?;
-        // Changes are asked for since the first part was read.
+        // Later changes are applied from the version of the first range on.
         if page.version == RowVersion::default() {
             page.version = part.version;
         }
@@ -194,7 +194,7 @@
     Ok(DirectorySubset { page, ranges })
 }
 
-/// The whole directory, of which the first page was read.
+/// Reads the rest of the directory after its first page.
 async fn read_rest(table: &dyn Table, name: &str, mut first: Page) -> Result<Page, ReadError> {
     let last = first.rows.last().map(|row| row.address.key.clone());
     let Some(last) = last.filter(|_| first.more) else {
@@ -209,20 +209,15 @@
     Ok(first)
 }
 
-/// Writes the index of a large directory if there is none, or one that is out of date. Any
-/// node may: it is a hint.
-async fn write_index(
-    table: &dyn Table,
-    listed: &[Row],
-    known: Option<(DirectoryIndex, RowVersion)>,
-) {
-    let is_known = known
+/// Writes the index of a large directory if it is missing or outdated. Any node may write it.
+async fn write_index(table: &dyn Table, rows: &[Row], known: Option<(DirectoryIndex, RowVersion)>) {
+    let is_current = known
         .as_ref()
-        .is_some_and(|(index, _)| !index.is_outdated(listed.len()));
-    if listed.len() < PART_FROM || is_known {
+        .is_some_and(|(index, _)| !index.is_outdated(rows.len()));
+    if rows.len() < MIN_INDEXED_ROWS || is_current {
         return;
     }
-    let keys: Vec<String> = listed.iter().map(|row| row.address.key.clone()).collect();
+    let keys: Vec<String> = rows.iter().map(|row| row.address.key.clone()).collect();
     let index = DirectoryIndex::from_keys(keys.iter());
     write(table, &index, known.map(|(_, version)| version)).await;
 }
@@ -232,8 +227,7 @@
     let transaction = Transaction::new()
         .require(address.clone(), version)
         .put(address, index.encode());
-    // Without an answer, or with another node's index there, the next one that reads all looks
-    // again.
+    // Failures are ignored: the next node that reads the whole directory checks the index again.
     let _ = table.commit(&transaction).await;
 }
 
--- a/crates/sloetrail-serving/src/follow/subset/tests.rs
+++ b/crates/sloetrail-serving/src/follow/subset/tests.rs
@@ -1,4 +1,4 @@
-//! How much nodes read of a directory, counted in rows.
+//! The number of directory rows that nodes read.
 
 use super::SubsetReader;
 use crate::follow::{PollTiming, ViewReceiver, follow_directory};
@@ -14,11 +14,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Rows of a page, as the operators' table has it.
+/// Page size of the operators' table.
 const PAGE_ROWS: usize = 500;
 const NAME: &str = "back_ends";
 
-/// A table that counts the rows that it hands out.
+/// An in-memory table that counts the directory rows that it returns.
 #[derive(Default)]
 struct CountingTable {
     state: Mutex<State>,
@@ -57,14 +57,14 @@
 
     fn changes_since(&self, table: &str, since: RowVersion) -> Vec<Change> {
         let state = self.state.lock().expect("not poisoned");
-        let news = state.changes.iter().filter(|(version, change)| {
+        let updates = state.changes.iter().filter(|(version, change)| {
             let address = match change {
                 Change::Written(row) => &row.address,
                 Change::Deleted(address) => address,
             };
             *version > since.0 && address.table == table
         });
-        news.map(|(_, change)| change.clone()).collect()
+        updates.map(|(_, change)| change.clone()).collect()
     }
 
     fn has_index(&self) -> bool {
@@ -75,11 +75,11 @@
 
 impl State {
     fn apply(&mut self, transaction: &Transaction) -> Commit {
-        let holds = transaction.conditions.iter().all(|condition| {
+        let conditions_hold = transaction.conditions.iter().all(|condition| {
             let row = self.rows.get(&condition.address);
             row.map(|row| row.version) == condition.version
         });
-        if !holds {
+        if !conditions_hold {
             return Commit::Conflict(Vec::new());
         }
         self.version += 1;
@@ -122,13 +122,13 @@
 
     async fn scan(&self, range: &KeyRange) -> Result<Page, ReadError> {
         let mut state = self.state.lock().expect("not poisoned");
-        let wanted = state.rows.values().filter(|row| {
+        let in_range = state.rows.values().filter(|row| {
             let RowAddress { table, key, .. } = &row.address;
             let is_before_end = range.to.as_ref().is_none_or(|to| key < to);
             *table == range.table && *key >= range.from && is_before_end
         });
         let limit = range.limit.unwrap_or(PAGE_ROWS);
-        let mut rows: Vec<Row> = wanted.take(limit + 1).cloned().collect();
+        let mut rows: Vec<Row> = in_range.take(limit + 1).cloned().collect();
         let more = rows.len() > limit;
         rows.truncate(limit);
         if range.table == NAME {
@@ -147,10 +147,10 @@
         since: RowVersion,
         wait: Duration,
     ) -> Result<Changes, ReadError> {
-        let until = tokio::time::Instant::now() + wait;
+        let deadline = tokio::time::Instant::now() + wait;
         let changes = loop {
             let changes = self.changes_since(table, since);
-            if !changes.is_empty() || tokio::time::Instant::now() >= until {
+            if !changes.is_empty() || tokio::time::Instant::now() >= deadline {
                 break changes;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -169,18 +169,18 @@
 }
 
 struct Node {
-    interest: Arc<SubsetDemand>,
+    demand: Arc<SubsetDemand>,
     view: ViewReceiver,
 }
 
 impl Node {
     fn start(table: &Arc<CountingTable>, name: &str) -> Self {
-        let interest = Arc::new(SubsetDemand::default());
-        let held = SubsetReader::new(name, Arc::clone(&interest));
+        let demand = Arc::new(SubsetDemand::default());
+        let subset = SubsetReader::new(name, Arc::clone(&demand));
         let table = Arc::clone(table) as Arc<dyn Table>;
-        let pace = PollTiming::with_delay(Duration::from_millis(60));
-        let view = follow_directory(table, NAME, pace, held);
-        Self { interest, view }
+        let timing = PollTiming::with_delay(Duration::from_millis(60));
+        let view = follow_directory(table, NAME, timing, subset);
+        Self { demand, view }
     }
 
     async fn read(&mut self) -> &mut Self {
@@ -188,11 +188,11 @@
         tokio::time::timeout(Duration::from_secs(10), is_read)
             .await
             .expect("read in time")
-            .expect("the follower lives");
+            .expect("the follower is running");
         self
     }
 
-    fn held(&self) -> usize {
+    fn row_count(&self) -> usize {
         self.view.borrow().rows.len()
     }
 }
@@ -201,9 +201,9 @@
     tokio::time::sleep(Duration::from_secs(3)).await;
 }
 
-/// With every node reading every row, 200 nodes read 2,000,000.
+/// Guards against every node reading the whole directory after a restart of all nodes.
 #[tokio::test(start_paused = true)]
-async fn nodes_that_start_again_together_read_a_part_of_a_large_directory() {
+async fn nodes_restarted_together_read_only_subsets() {
     let table = CountingTable::with_back_ends(10_000);
     Node::start(&table, "first").read().await;
     assert!(table.has_index());
@@ -213,15 +213,19 @@
         .collect();
     for node in &mut nodes {
         node.read().await;
-        assert!((500..=800).contains(&node.held()), "{}", node.held());
+        assert!(
+            (500..=800).contains(&node.row_count()),
+            "{}",
+            node.row_count()
+        );
     }
     let each = (table.rows_read() - before) / nodes.len();
     assert!(each <= 800, "{each} rows a node");
 }
 
-/// Nobody has written the index: those whose turn comes first do, and the others wait for it.
+/// Without an index, the first few nodes read all rows and write it, and the others wait for it.
 #[tokio::test(start_paused = true)]
-async fn nodes_that_start_together_for_the_first_time_wait_for_an_index() {
+async fn nodes_started_together_wait_for_the_first_index() {
     let table = CountingTable::with_back_ends(10_000);
     let mut nodes: Vec<Node> = (0..200)
         .map(|number| Node::start(&table, &format!("front-{number}")))
@@ -229,14 +233,14 @@
     for node in &mut nodes {
         node.read().await;
     }
-    // Four nodes may read every row, and the others look at a page before their turn.
-    let most = 4 * 10_000 + nodes.len() * (PAGE_ROWS + 800);
-    assert!(table.rows_read() <= most, "{} rows", table.rows_read());
+    // Four nodes may read every row, and the others one page while they wait.
+    let max_rows = 4 * 10_000 + nodes.len() * (PAGE_ROWS + 800);
+    assert!(table.rows_read() <= max_rows, "{} rows", table.rows_read());
 }
 
-/// Nodes and back ends start together, and the changes tell each node of every back end.
+/// If nodes and back ends start together, the changes have the rows of every back end.
 #[tokio::test(start_paused = true)]
-async fn nodes_that_see_a_directory_grow_hold_a_part_of_it() {
+async fn views_of_a_growing_directory_are_reduced() {
     let table = CountingTable::with_back_ends(0);
     let mut nodes: Vec<Node> = (0..100)
         .map(|number| Node::start(&table, &format!("front-{number}")))
@@ -249,43 +253,47 @@
     }
     settle().await;
     for node in &nodes {
-        assert!((300..=1_300).contains(&node.held()), "{}", node.held());
+        assert!(
+            (300..=1_300).contains(&node.row_count()),
+            "{}",
+            node.row_count()
+        );
     }
     assert!(table.has_index());
     let mut later = Node::start(&table, "later");
-    let held = later.read().await.held();
-    assert!((300..=1_500).contains(&held), "{held} after a restart");
+    let rows = later.read().await.row_count();
+    assert!((300..=1_500).contains(&rows), "{rows} after a restart");
     let owner = &mut nodes[0];
-    owner.interest.demand_all();
+    owner.demand.demand_all();
     let covers_all = owner.view.wait_for(|view| view.rows.len() == 10_000);
     let known = tokio::time::timeout(Duration::from_millis(200), covers_all).await;
-    assert!(known.is_ok(), "all rows are known when all are wanted");
+    assert!(known.is_ok(), "all rows are read once demanded");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_directory_of_ordinary_size_is_read_whole_and_has_no_index() {
+async fn a_small_directory_is_read_completely_without_index() {
     let table = CountingTable::with_back_ends(900);
     let mut node = Node::start(&table, "node");
-    assert_eq!(node.read().await.held(), 900);
+    assert_eq!(node.read().await.row_count(), 900);
     assert!(!table.has_index());
 }
 
 #[tokio::test(start_paused = true)]
-async fn changes_are_known_of_the_back_ends_that_are_held_and_of_no_others() {
+async fn only_changes_within_the_subset_are_applied() {
     let table = CountingTable::with_back_ends(5_000);
     Node::start(&table, "first").read().await;
     let mut node = Node::start(&table, "node");
     node.read().await;
-    let held: Vec<usize> = (0..5_000)
+    let listed: Vec<usize> = (0..5_000)
         .filter(|number| {
             let view = node.view.borrow();
             view.rows.contains_key(&back_end(*number).key)
         })
         .collect();
-    let other = (0..5_000).find(|number| !held.contains(number));
-    let other = other.expect("not all are held");
-    table.write(back_end(held[0]), "v2");
-    table.delete(back_end(held[1]));
+    let other = (0..5_000).find(|number| !listed.contains(number));
+    let other = other.expect("the subset leaves out a back end");
+    table.write(back_end(listed[0]), "v2");
+    table.delete(back_end(listed[1]));
     table.write(back_end(other), "v2");
     settle().await;
     let view = node.view.borrow().clone();
@@ -294,60 +302,63 @@
             .get(&back_end(number).key)
             .map(|row| &row.value[..])
     };
-    assert_eq!(value(held[0]), Some(&b"v2"[..]));
-    assert_eq!(value(held[1]), None);
+    assert_eq!(value(listed[0]), Some(&b"v2"[..]));
+    assert_eq!(value(listed[1]), None);
     assert_eq!(value(other), None);
-    assert_eq!(view.rows.len(), held.len() - 1);
+    assert_eq!(view.rows.len(), listed.len() - 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn back_ends_that_begin_later_are_held_by_some_nodes() {
+async fn subsets_grow_with_back_ends_that_start_later() {
     let table = CountingTable::with_back_ends(5_000);
     Node::start(&table, "first").read().await;
     let mut node = Node::start(&table, "node");
-    let before = node.read().await.held();
+    let before = node.read().await.row_count();
     for number in 5_000..10_000 {
         table.write(back_end(number), "v1");
     }
     settle().await;
-    let held = node.held();
+    let after = node.row_count();
     assert!(
-        held > before * 3 / 2 && held < before * 3,
-        "{before}, {held}"
+        after > before * 3 / 2 && after < before * 3,
+        "{before}, {after}"
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_wants_more_reads_more_and_an_owner_all() {
+async fn demand_for_more_or_all_rows_is_met() {
     let table = CountingTable::with_back_ends(5_000);
     Node::start(&table, "first").read().await;
     let mut node = Node::start(&table, "node");
-    let before = node.read().await.held();
-    node.interest.demand_more();
-    node.interest.demand_more();
+    let before = node.read().await.row_count();
+    node.demand.demand_more();
+    node.demand.demand_more();
     settle().await;
-    let more = node.held();
+    let more = node.row_count();
     assert!(
         more > before * 3 / 2 && more < before * 3,
         "{before}, {more}"
     );
-    node.interest.demand_all();
+    node.demand.demand_all();
     let covers_all = node.view.wait_for(|view| view.rows.len() == 5_000);
     let known = tokio::time::timeout(Duration::from_millis(200), covers_all).await;
-    assert!(known.is_ok(), "an owner does not wait for the next change");
+    assert!(
+        known.is_ok(),
+        "all rows are read without waiting for a change"
+    );
 }
 
-/// A row under the index's key that no node would write costs reading, not back ends.
+/// An invalid index row may cause extra reads but must not hide back ends.
 #[tokio::test(start_paused = true)]
-async fn an_index_that_cannot_be_read_is_written_anew() {
+async fn an_invalid_index_is_replaced() {
     let table = CountingTable::with_back_ends(5_000);
     table.write(
         rows::directory_index(),
         "{\"rows\":5000,\"starts\":[\"z\",\"a\"]}",
     );
     Node::start(&table, "first").read().await;
-    assert!(table.rows_read() >= 5_000, "the first node reads them all");
+    assert!(table.rows_read() >= 5_000, "the first node reads all rows");
     let mut second = Node::start(&table, "second");
-    let held = second.read().await.held();
-    assert!(held < 1_000, "{held}");
+    let rows = second.read().await.row_count();
+    assert!(rows < 1_000, "{rows}");
 }
--- a/crates/sloetrail-serving/src/follow/tests.rs
+++ b/crates/sloetrail-serving/src/follow/tests.rs
@@ -9,37 +9,40 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long a call waits for a table that says nothing.
-const PATIENCE: Duration = Duration::from_millis(500);
-
-/// A table that answers no call until it is back.
-struct AbsentTable {
-    is_back: watch::Sender<bool>,
-    /// False if it refuses calls at once, true if it says nothing.
-    is_silent: bool,
+/// How long a call waits for an unresponsive table.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// A table that fails all calls until it becomes available.
+struct UnavailableTable {
+    is_available: watch::Sender<bool>,
+    /// True if calls time out, false if they are refused immediately.
+    is_unresponsive: bool,
 }
 
-impl AbsentTable {
-    fn new(is_silent: bool) -> Arc<Self> {
-        let (is_back, _) = watch::channel(false);
-        Arc::new(Self { is_back, is_silent })
+impl UnavailableTable {
+    fn new(is_unresponsive: bool) -> Arc<Self> {
+        let (is_available, _) = watch::channel(false);
+        Arc::new(Self {
+            is_available,
+            is_unresponsive,
+        })
     }
 
-    /// Calls that wait when the table is back are given up, as their answers are lost.
-    async fn answers(&self) -> Result<(), ReadError> {
+    /// Calls that are pending when the table becomes available fail: their answers are lost.
+    async fn check_available(&self) -> Result<(), ReadError> {
         if self.is_answering() {
             return Ok(());
         }
-        if self.is_silent {
-            // Either the table is back or the patience is at its end.
-            let _ = tokio::time::timeout(PATIENCE, self.returned()).await;
+        if self.is_unresponsive {
+            // Ends when the table becomes available or the call times out.
+            let _ = tokio::time::timeout(CALL_TIMEOUT, self.returned()).await;
         }
         Err(ReadError::Unavailable)
     }
 }
 
 #[async_trait]
-impl Table for AbsentTable {
+impl Table for UnavailableTable {
     fn limits(&self) -> TableLimits {
         TableLimits {
             row_bytes: 1_000,
@@ -53,13 +56,13 @@
     }
 
     fn is_answering(&self) -> bool {
-        *self.is_back.borrow()
+        *self.is_available.borrow()
     }
 
     async fn returned(&self) {
-        let mut is_back = self.is_back.subscribe();
+        let mut is_available = self.is_available.subscribe();
         // The sender lives as long as this table.
-        let _ = is_back.changed().await;
+        let _ = is_available.changed().await;
     }
 
     async fn commit(&self, _transaction: &Transaction) -> Result<Commit, CommitError> {
@@ -67,7 +70,7 @@
     }
 
     async fn scan(&self, _range: &KeyRange) -> Result<Page, ReadError> {
-        self.answers().await.map(|()| Page::default())
+        self.check_available().await.map(|()| Page::default())
     }
 
     async fn changes(
@@ -76,78 +79,84 @@
         _since: RowVersion,
         wait: Duration,
     ) -> Result<Changes, ReadError> {
-        self.answers().await?;
+        self.check_available().await?;
         tokio::time::sleep(wait).await;
         Ok(Changes::default())
     }
 }
 
-/// How long a follower takes to read a table that comes back after this time.
-async fn found_back_after(table: Arc<AbsentTable>, absence: Duration) -> Duration {
-    let pace = PollTiming::with_delay(Duration::from_millis(5));
-    let mut view = follow(Arc::clone(&table) as Arc<dyn Table>, "rows", "", pace);
-    tokio::time::sleep(absence).await;
+/// The time from the table's return until a follower reads it, after this time of unavailability.
+async fn reconnect_time(table: Arc<UnavailableTable>, outage: Duration) -> Duration {
+    let timing = PollTiming::with_delay(Duration::from_millis(5));
+    let mut view = follow(Arc::clone(&table) as Arc<dyn Table>, "rows", "", timing);
+    tokio::time::sleep(outage).await;
     assert!(view.borrow().confirmed_at.is_none());
     let returned_at = BootInstant::now();
-    table.is_back.send_replace(true);
+    table.is_available.send_replace(true);
     let is_known = view.wait_for(|view| view.confirmed_at.is_some());
-    is_known.await.expect("the follower lives");
+    is_known.await.expect("the follower is running");
     returned_at.elapsed()
 }
 
-/// Questions are asked less and less often while the table is away, but its return must
-/// not be found out only with the next of them.
+/// Retries back off during an outage, but the return of the table must be detected without waiting
+/// for the next retry.
 #[tokio::test(start_paused = true)]
-async fn a_table_that_is_back_is_asked_at_once() {
-    let took = found_back_after(AbsentTable::new(false), Duration::from_millis(4_100)).await;
+async fn a_returning_table_is_polled_immediately() {
+    let took = reconnect_time(UnavailableTable::new(false), Duration::from_millis(4_100)).await;
     assert!(took < Duration::from_millis(20), "{took:?}");
 }
 
-/// The question that waits when the table is back fails with its return: the pause that
-/// follows a failure would begin only then.
+/// The pending call fails when the table returns. The backoff that follows a failure must not
+/// delay the next call.
 #[tokio::test(start_paused = true)]
-async fn a_silent_table_that_is_back_is_asked_at_once() {
-    // The seventh question waits from 4.88 to 5.38 s, the pause after it would be 0.64 s.
-    let took = found_back_after(AbsentTable::new(true), Duration::from_secs(5)).await;
+async fn a_returning_unresponsive_table_is_polled_immediately() {
+    // The seventh call is pending from 4.88 to 5.38 s, and the backoff after it would be 0.64 s.
+    let took = reconnect_time(UnavailableTable::new(true), Duration::from_secs(5)).await;
     assert!(took < Duration::from_millis(20), "{took:?}");
 }
 
-/// An answer that comes late means that this process or the table stood still. What waits
-/// for news since then must not wait for as long as a quiet table holds the next question.
+/// A late answer means that this process or the table was suspended. Readers that need a newer view
+/// must not wait for another full long poll.
 #[tokio::test(start_paused = true)]
-async fn after_a_late_answer_the_next_one_comes_at_once() {
-    let table = AbsentTable::new(false);
-    table.is_back.send_replace(true);
-    let pace = PollTiming::with_delay(Duration::from_millis(5));
-    let held = pace.long_poll_timeout.now();
-    let mut view = follow(Arc::clone(&table) as Arc<dyn Table>, "rows", "", pace);
+async fn a_late_answer_is_followed_by_an_immediate_poll() {
+    let table = UnavailableTable::new(false);
+    table.is_available.send_replace(true);
+    let timing = PollTiming::with_delay(Duration::from_millis(5));
+    let long_poll_timeout = timing.long_poll_timeout.now();
+    let mut view = follow(Arc::clone(&table) as Arc<dyn Table>, "rows", "", timing);
     let is_known = view.wait_for(|view| view.confirmed_at.is_some());
-    is_known.await.expect("the follower lives");
-    tokio::time::sleep(held / 2).await;
-    // The clock goes on by this while nothing runs.
-    tokio::time::advance(held + Duration::from_secs(2)).await;
+    is_known.await.expect("the follower is running");
+    tokio::time::sleep(long_poll_timeout / 2).await;
+    // Simulates a suspension: the clock advances while nothing runs.
+    tokio::time::advance(long_poll_timeout + Duration::from_secs(2)).await;
     let woken_at = BootInstant::now();
     let is_new = view.wait_for(|view| view.requested_at.is_some_and(|at| at >= woken_at));
-    is_new.await.expect("the follower lives");
+    is_new.await.expect("the follower is running");
     let took = woken_at.elapsed();
-    assert!(took < Duration::from_millis(50), "{took:?} of {held:?}");
+    assert!(
+        took < Duration::from_millis(50),
+        "{took:?} of {long_poll_timeout:?}"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn after_a_pause_in_which_nothing_ran_the_table_is_asked_for_an_answer_at_once() {
-    let table = AbsentTable::new(false);
-    table.is_back.send_replace(true);
-    let pace = PollTiming::with_delay(Duration::from_millis(60));
-    let held = pace.long_poll_timeout.now();
-    let mut view = follow(Arc::clone(&table) as Arc<dyn Table>, "rows", "", pace);
+async fn a_suspension_during_the_delay_causes_an_immediate_poll() {
+    let table = UnavailableTable::new(false);
+    table.is_available.send_replace(true);
+    let timing = PollTiming::with_delay(Duration::from_millis(60));
+    let long_poll_timeout = timing.long_poll_timeout.now();
+    let mut view = follow(Arc::clone(&table) as Arc<dyn Table>, "rows", "", timing);
     let is_known = view.wait_for(|view| view.confirmed_at.is_some());
-    is_known.await.expect("the follower lives");
-    // The pause after the first answer has begun.
+    is_known.await.expect("the follower is running");
+    // The delay after the first answer has started.
     tokio::time::sleep(Duration::from_millis(20)).await;
     tokio::time::advance(Duration::from_secs(2)).await;
     let woken_at = BootInstant::now();
     let is_new = view.wait_for(|view| view.requested_at.is_some_and(|at| at >= woken_at));
-    is_new.await.expect("the follower lives");
+    is_new.await.expect("the follower is running");
     let took = woken_at.elapsed();
-    assert!(took < Duration::from_millis(200), "{took:?} of {held:?}");
+    assert!(
+        took < Duration::from_millis(200),
+        "{took:?} of {long_poll_timeout:?}"
+    );
 }
--- a/crates/sloetrail-serving/src/policies.rs
+++ b/crates/sloetrail-serving/src/policies.rs
@@ -1,42 +1,41 @@
-//! Mechanisms of decision that can be switched off one by one, so that a measurement
-//! can tell what each is worth. All are on unless the settings say otherwise; what keeps
-//! a promise is not among them.
+//! Scheduling policies that the settings can disable one by one, to measure the effect of each.
+//!
+//! All are enabled by default. Mechanisms that correctness depends on can't be disabled.
 
 use serde::Deserialize;
 use sloetrail_batch::DispatchOrder;
 
-/// Which mechanisms are on.
+/// The enabled policies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policies {
-    /// While places are scarce, items of the groups that a trainer waits for go before
-    /// the others.
+    /// Dispatches items of the groups that a trainer requires first while slots are scarce.
     pub wanted_groups_first: bool,
-    /// Of the items of a batch those that are expected to be longest go first.
+    /// Dispatches the items of a batch with the longest expected output first.
     pub longest_first: bool,
-    /// No more items of a batch run at a time than let the others end with its longest text.
+    /// Runs only as many items of a batch concurrently as are needed for all to finish with its
+    /// longest text.
     pub bounded_batch_width: bool,
-    /// Texts that ended batches left over are gone on with when their items come again.
+    /// Resumes partial texts of ended batches when their items are submitted again.
     pub reuse_texts: bool,
-    /// Engines that are much slower than the others get no work but to see whether they
-    /// still are.
+    /// Sends much slower engines only the work needed to detect that they have recovered.
     pub slow_engines_apart: bool,
-    /// Items go to the fastest engine that has a place, not to the emptiest one.
+    /// Dispatches items to the fastest engine with a free slot instead of the least loaded one.
     pub prefer_fast_engines: bool,
-    /// Long texts move to a faster engine that has a place, if that saves time.
+    /// Moves long texts to a faster engine with a free slot if that saves time.
     pub move_long_texts: bool,
-    /// A node that the table does not answer has its calls carried by another node.
+    /// Relays table calls through another node while the table doesn't answer this one.
     pub relay_table_calls: bool,
-    /// A few nodes ask the owner of a service whether it lives, and compete for its lease
-    /// when it does not; otherwise the lease has to run out.
+    /// Lets a few nodes probe the owner of a service and compete for its lease once it stops
+    /// answering, instead of waiting for the lease to expire.
     pub watch_owners: bool,
-    /// While answers of a service take longer than usual, a second back end is asked later.
+    /// Delays hedged requests while the answers of a service take longer than usual.
     pub hedge_by_answer_times: bool,
-    /// The owner of a service orders more engines while steps are late or places are busy,
-    /// and gives them back later.
+    /// Lets the owner of a service order more engines while steps are late or slots are busy,
+    /// and release them later.
     pub order_engines: bool,
-    /// A reader that gives a waiting time is kept until the groups that its trainer waits for
-    /// are whole; otherwise until there is any result.
+    /// Answers a long poll for results once the groups that its trainer requires are complete,
+    /// instead of on the first result.
     pub gather_results: bool,
 }
 
@@ -60,10 +59,10 @@
 }
 
 impl Policies {
-    /// In which order the items of a batch go to engines.
-    pub(crate) fn dispatch_order(&self, places_are_scarce: bool) -> DispatchOrder {
+    /// The order in which items of a batch are dispatched.
+    pub(crate) fn dispatch_order(&self, slots_are_scarce: bool) -> DispatchOrder {
         DispatchOrder {
-            wanted_first: self.wanted_groups_first && places_are_scarce,
+            wanted_first: self.wanted_groups_first && slots_are_scarce,
             longest_first: self.longest_first,
         }
     }
--- a/crates/sloetrail-serving/src/service_pools.rs
+++ b/crates/sloetrail-serving/src/service_pools.rs
@@ -1,4 +1,4 @@
-//! The choice of a back end for a live request.
+//! Selects back ends for live requests.
 
 mod state;
 
@@ -24,31 +24,31 @@
 use tokio::sync::watch;
 use tokio::time::MissedTickBehavior;
 
-/// How often it is looked whether other nodes have come or gone, among which what a cold
-/// back end bears is dealt out. Their rows are read every five seconds.
-const SENDERS_PERIOD: Duration = Duration::from_millis(500);
+/// How often the set of nodes is checked for changes. The request rate that a cold back end can
+/// bear is divided among them.
+const SENDER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The back ends of every service, as this node sees them.
+/// The back ends of each service as known to this node.
 pub struct ServicePools {
     origin: BootInstant,
     zone_work: Arc<ZoneWork>,
-    /// Told when none of the back ends that are held has a place.
-    interest: Arc<SubsetDemand>,
+    /// Raised when none of the known back ends has a free slot.
+    subset_demand: Arc<SubsetDemand>,
     state: Mutex<State>,
 }
 
 impl ServicePools {
-    /// Pools of a node without back ends.
+    /// Pools without back ends.
     pub(crate) fn new(
         settings: &ServingSettings,
-        (peers, interest): (Option<Arc<Peers>>, Arc<SubsetDemand>),
+        (peers, subset_demand): (Option<Arc<Peers>>, Arc<SubsetDemand>),
         zone_work: Arc<ZoneWork>,
         seed: u64,
     ) -> Arc<Self> {
         Arc::new(Self {
             origin: BootInstant::now(),
             zone_work,
-            interest,
+            subset_demand,
             state: Mutex::new(State {
                 node: settings.node.clone(),
                 topology: settings.topology.clone(),
@@ -60,15 +60,15 @@
                 in_force: Arc::default(),
                 leased_sets: Arc::default(),
                 balancers: HashMap::new(),
-                turns: HashMap::new(),
+                slot_queues: HashMap::new(),
                 answer_times: HashMap::new(),
-                losses: BTreeMap::new(),
+                loss_backoffs: BTreeMap::new(),
             }),
         })
     }
 
-    /// Keeps the pools in step with the directory, with what is in force and with which
-    /// nodes and owners there are.
+    /// Spawns a task that updates the pools with the directory, the operator's state, the owners
+    /// and the set of nodes.
     pub(crate) fn follow(
         self: &Arc<Self>,
         mut directory: watch::Receiver<Arc<Directory>>,
@@ -76,11 +76,11 @@
         mut leased_sets: watch::Receiver<Arc<LeasedSets>>,
     ) {
         let pools = Arc::downgrade(self);
-        let mut look = tokio::time::interval(SENDERS_PERIOD);
-        look.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut sender_check = tokio::time::interval(SENDER_CHECK_INTERVAL);
+        sender_check.set_missed_tick_behavior(MissedTickBehavior::Delay);
         tokio::spawn(async move {
             loop {
-                let is_look = tokio::select! {
+                let is_sender_check = tokio::select! {
                     changed = directory.changed() => match changed {
                         Ok(()) => false,
                         Err(_) => return,
@@ -93,17 +93,17 @@
                         Ok(()) => false,
                         Err(_) => return,
                     },
-                    _ = look.tick() => true,
+                    _ = sender_check.tick() => true,
                 };
                 let Some(pools) = pools.upgrade() else {
                     return;
                 };
-                if is_look && !pools.have_senders_changed() {
+                if is_sender_check && !pools.have_senders_changed() {
                     continue;
                 }
                 let listed = directory.borrow_and_update().clone();
                 let leased = leased_sets.borrow_and_update().clone();
-                pools.take(listed, in_force.borrow_and_update().clone(), leased);
+                pools.update(listed, in_force.borrow_and_update().clone(), leased);
             }
         });
     }
@@ -113,9 +113,9 @@
         state.senders != state.current_senders()
     }
 
-    /// Takes in the directory, what is in force and which owners there are. Being listed
-    /// counts as news of a back end, except of one that is left alone after a loss.
-    fn take(
+    /// Applies the directory, the operator's state and the owners. A listed back end counts as
+    /// serving unless it is backed off after a loss.
+    fn update(
         &self,
         directory: Arc<Directory>,
         in_force: Arc<InForce>,
@@ -138,15 +138,15 @@
             listed.entry(service).or_default();
         }
         for (service, back_ends) in listed {
-            state.take_service(now, &directory, service, &back_ends);
+            state.update_service(now, &directory, service, &back_ends);
         }
         state.directory = directory;
     }
 
-    /// When a request may have a place at a back end in its allowed regions; nothing if none
-    /// takes work there.
-    pub(crate) fn slot_wait_estimate(&self, seeker: &PlaceSeeker) -> Option<PlaceOutlook> {
-        let (service, regions) = (seeker.service(), &seeker.request().regions);
+    /// Estimates the wait for a slot at a back end in the request's allowed regions; None if none
+    /// accepts work there.
+    pub(crate) fn slot_wait_estimate(&self, waiter: &PlaceSeeker) -> Option<PlaceOutlook> {
+        let (service, regions) = (waiter.service(), &waiter.request().regions);
         let now = self.now();
         let state = self.state.lock().expect("not poisoned");
         let balancer = state.balancers.get(service)?;
@@ -154,26 +154,26 @@
             return None;
         }
         let instant = BootInstant::now();
-        let pauses = state.directory.of_service(service).filter_map(|back_end| {
+        let backoffs = state.directory.of_service(service).filter_map(|back_end| {
             let takes_work =
                 !back_end.draining && !state.in_force.evacuations.covers(&back_end.zone);
             let is_allowed = state.topology.allows(regions, &back_end.zone);
-            let losses = state.losses.get(&back_end.id);
-            let pause = losses.and_then(|losses| losses.left(instant));
-            (takes_work && is_allowed).then_some(pause.unwrap_or_default())
+            let loss_backoff = state.loss_backoffs.get(&back_end.id);
+            let backoff = loss_backoff.and_then(|loss_backoff| loss_backoff.left(instant));
+            (takes_work && is_allowed).then_some(backoff.unwrap_or_default())
         });
-        let soonest = pauses.min().unwrap_or_default();
+        let shortest = backoffs.min().unwrap_or_default();
         Some(PlaceOutlook {
-            paused_for: (!soonest.is_zero()).then_some(soonest),
+            paused_for: (!shortest.is_zero()).then_some(shortest),
             answer_time: state.answer_times.get(service).map(LatencyQuantile::time),
             running: balancer.in_flight(),
-            held_back_by: state.held_back_by(seeker),
+            held_back_by: state.held_back_by(waiter),
         })
     }
 
-    /// How many requests this node may have at a time at the back ends of a service in the
-    /// allowed regions, beside what is kept for callers' requests. Those that are left alone
-    /// after a loss or a refusal do not count.
+    /// The number of slots that this node may use for samples at the back ends of a service in the
+    /// allowed regions, without those reserved for live requests. Back ends that are backed off
+    /// after a loss or a refusal don't count.
     pub(crate) fn sample_slots(&self, service: &ServiceName, regions: &AllowedRegions) -> usize {
         let now = self.now();
         let mut state = self.state.lock().expect("not poisoned");
@@ -184,18 +184,18 @@
         })
     }
 
-    /// Chooses a back end that has room, lies in one of the allowed regions and is not
-    /// excluded, unless it is another one's turn.
+    /// Takes a slot at a back end in the allowed regions that isn't excluded. Returns None if no
+    /// slot is free or if another request is next in the queue.
     pub(crate) fn acquire(
         self: &Arc<Self>,
-        seeker: &PlaceSeeker,
+        waiter: &PlaceSeeker,
         excluded: &BTreeSet<EngineId>,
     ) -> Option<SlotPermit> {
-        let (service, tenant) = (seeker.service(), &seeker.request().tenant);
+        let (service, tenant) = (waiter.service(), &waiter.request().tenant);
         let now = self.now();
         let mut state = self.state.lock().expect("not poisoned");
         state.readmit(service, now);
-        if !state.ask_turn(seeker, excluded, now) {
+        if !state.may_take_slot(waiter, excluded, now) {
             return None;
         }
         let State {
@@ -205,10 +205,10 @@
             ..
         } = &mut *state;
         let balancer = balancers.get_mut(service)?;
-        let regions = &seeker.request().regions;
+        let regions = &waiter.request().regions;
         let chosen = balancer.choose(now, random, live_demand(excluded, regions));
         let Some(id) = chosen else {
-            self.interest.demand_more();
+            self.subset_demand.demand_more();
             return None;
         };
         let back_end = directory.back_ends.get(&id).cloned();
@@ -217,47 +217,47 @@
             return None;
         };
         let directory_version = directory.version;
-        state.turns(service).began(seeker);
+        state.slot_queue(service).began(waiter);
         Some(SlotPermit {
             _running: self.zone_work.begin(&back_end.zone, WorkKind::Live),
             pools: Arc::clone(self),
             back_end,
             tenant: tenant.clone(),
             directory_version,
-            ended: false,
+            is_ended: false,
         })
     }
 
-    /// Works on the queue of those that wait for a place at a service.
+    /// Runs `work` on the slot queue of a service.
     pub(crate) fn with_slot_queue<Outcome>(
         &self,
         service: &ServiceName,
         work: impl FnOnce(&mut PlaceTurns) -> Outcome,
     ) -> Outcome {
         let mut state = self.state.lock().expect("not poisoned");
-        work(state.turns(service))
+        work(state.slot_queue(service))
     }
 
-    /// A request ended without ever having had a place. One that no back end may serve says
-    /// nothing of how the places that there are were shared out.
-    pub(crate) fn note_unserved(&self, seeker: &PlaceSeeker) {
-        let (service, regions) = (seeker.service(), &seeker.request().regions);
+    /// Records a request that ended without ever having had a slot, for the fairness of the queue.
+    /// Requests that no back end may serve don't count.
+    pub(crate) fn note_unserved(&self, waiter: &PlaceSeeker) {
+        let (service, regions) = (waiter.service(), &waiter.request().regions);
         let now = self.now();
         let mut state = self.state.lock().expect("not poisoned");
         let balancer = state.balancers.get(service);
         if balancer.is_some_and(|balancer| balancer.may_serve(now, regions)) {
-            state.turns(service).missed(seeker);
+            state.slot_queue(service).missed(waiter);
         }
     }
 
-    /// Offers a place of a service, if there is one, to the first that waits and may use it.
+    /// Offers a free slot of a service, if any, to the first waiting request that may use it.
     pub(crate) fn wake_first(&self, service: &ServiceName) {
         let now = self.now();
         let mut state = self.state.lock().expect("not poisoned");
         state.wake_first(service, now);
     }
 
-    /// A back end of a service has answered after this time.
+    /// Records the answer time of a back end of a service.
     pub(crate) fn note_answer(&self, service: &ServiceName, took: Duration) {
         let mut state = self.state.lock().expect("not poisoned");
         state
@@ -267,7 +267,7 @@
             .note(took);
     }
 
-    /// The time within which nine of ten answers of a service come to this node.
+    /// The 90th percentile of the answer times of a service; zero if unknown.
     pub(crate) fn answer_time(&self, service: &ServiceName) -> Duration {
         let state = self.state.lock().expect("not poisoned");
         let known = state.answer_times.get(service);
@@ -281,7 +281,7 @@
         if let Some(balancer) = state.balancers.get_mut(&back_end.service) {
             balancer.finish(now, &back_end.id, outcome);
         }
-        state.turns(&back_end.service).ended(tenant);
+        state.slot_queue(&back_end.service).ended(tenant);
         state.wake_first(&back_end.service, now);
     }
 
@@ -290,43 +290,42 @@
     }
 }
 
-/// A place on a back end. Dropping it without an outcome says nothing of the back end.
+/// A permit for one slot at a back end. Dropping it without an outcome counts as an abandoned
+/// request and doesn't affect the rating of the back end.
 pub struct SlotPermit {
     pools: Arc<ServicePools>,
     back_end: Arc<BackEnd>,
-    /// Whose request it was taken for.
     tenant: WorkOwner,
     directory_version: RowVersion,
-    ended: bool,
+    is_ended: bool,
     _running: RunningInZone,
 }
 
 impl SlotPermit {
-    /// The back end.
     pub fn back_end(&self) -> &BackEnd {
         &self.back_end
     }
 
-    /// The back end, to be kept.
+    /// The back end as a shared reference that the caller can retain.
     pub(crate) fn shared_back_end(&self) -> &Arc<BackEnd> {
         &self.back_end
     }
 
-    /// The version of the directory that named it.
+    /// The version of the directory that listed the back end.
     pub fn directory_version(&self) -> RowVersion {
         self.directory_version
     }
 
-    /// Ends the request there.
+    /// Releases the slot and records the outcome of the request.
     pub fn end(mut self, outcome: AttemptOutcome) {
-        self.ended = true;
+        self.is_ended = true;
         self.pools.finish(&self.back_end, &self.tenant, outcome);
     }
 }
 
 impl Drop for SlotPermit {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.is_ended {
             let outcome = AttemptOutcome::Abandoned;
             self.pools.finish(&self.back_end, &self.tenant, outcome);
         }
--- a/crates/sloetrail-serving/src/service_pools/state.rs
+++ b/crates/sloetrail-serving/src/service_pools/state.rs
@@ -1,4 +1,4 @@
-//! What the pools of a node know, and what of it a choice depends on.
+//! The state of the service pools and the queries on it.
 
 use crate::back_end::BackEnd;
 use crate::cold_budgets::ColdBudgets;
@@ -20,47 +20,45 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a back end may be chosen without news of it. The directory is silent
-/// while the table is down, which must not stop live requests; a back end that is
-/// gone is found out by the first attempt.
+/// How long a back end may be chosen without an update. Live requests must continue while the
+/// directory table is down; the first attempt reveals a back end that is gone.
 const VIEW_FRESHNESS: Duration = Duration::from_secs(600);
 
-/// What a node knows of the back ends of every service, of those that wait for places and
-/// of the other nodes.
+/// The back ends of each service, the requests waiting for slots and the other nodes.
 pub(super) struct State {
     pub(super) node: String,
     pub(super) topology: Topology,
     pub(super) cold: ColdTolerance,
-    /// The other nodes, among which what a cold back end bears is dealt out. Without them
-    /// this node counts as the only one.
+    /// The other nodes that share the request rate of cold back ends. None if this is the only
+    /// node.
     pub(super) peers: Option<Arc<Peers>>,
-    /// The names of all nodes when the pools were last brought up to date.
+    /// The names of all nodes at the last update of the pools.
     pub(super) senders: Vec<String>,
     pub(super) random: StdRng,
     pub(super) directory: Arc<Directory>,
     pub(super) in_force: Arc<InForce>,
     pub(super) leased_sets: Arc<LeasedSets>,
     pub(super) balancers: HashMap<ServiceName, Balancer>,
-    pub(super) turns: HashMap<ServiceName, PlaceTurns>,
+    pub(super) slot_queues: HashMap<ServiceName, PlaceTurns>,
     pub(super) answer_times: HashMap<ServiceName, LatencyQuantile>,
-    pub(super) losses: BTreeMap<EngineId, LossBackoff>,
+    pub(super) loss_backoffs: BTreeMap<EngineId, LossBackoff>,
 }
 
 impl State {
-    pub(super) fn take_service(
+    pub(super) fn update_service(
         &mut self,
         now: Timestamp,
         directory: &Directory,
         service: ServiceName,
         back_ends: &[&Arc<BackEnd>],
     ) {
-        let most_slots = back_ends.iter().map(|back_end| back_end.slots).max();
-        let concurrency = most_slots.unwrap_or(1).max(1);
-        let spared = Spared::new(self, &service);
+        let max_slots = back_ends.iter().map(|back_end| back_end.slots).max();
+        let concurrency = max_slots.unwrap_or(1).max(1);
+        let cold_limits = ColdLimits::new(self, &service);
         let listed = back_ends.iter().map(|back_end| ListedEngine {
             leaving: back_end.draining,
             evacuated: self.in_force.evacuations.covers(&back_end.zone),
-            cold: spared.cold(self, directory, back_end, now),
+            cold: cold_limits.cold_engine(self, directory, back_end, now),
             ..ListedEngine::ready(back_end.id.clone(), back_end.zone.clone())
         });
         let listed: Vec<ListedEngine> = listed.collect();
@@ -75,86 +73,95 @@
         balancer.set_engines(now, listed);
         let instant = BootInstant::now();
         for back_end in back_ends {
-            let losses = self.losses.entry(back_end.id.clone()).or_default();
-            if losses.is_over(instant) {
+            let backoff = self.loss_backoffs.entry(back_end.id.clone()).or_default();
+            if backoff.is_over(instant) {
                 balancer.report(&back_end.id, listed_report(back_end, now));
             }
         }
-        let losses = &mut self.losses;
-        losses.retain(|id, _| directory.back_ends.contains_key(id));
+        let backoffs = &mut self.loss_backoffs;
+        backoffs.retain(|id, _| directory.back_ends.contains_key(id));
     }
 
-    /// Lets the back ends of a service be tried again whose pause after a loss is over.
+    /// Makes back ends of a service available again once their backoff after a loss has ended.
     pub(super) fn readmit(&mut self, service: &ServiceName, now: Timestamp) {
         let instant = BootInstant::now();
         let Some(balancer) = self.balancers.get_mut(service) else {
             return;
         };
         for back_end in self.directory.of_service(service) {
-            let losses = self.losses.get(&back_end.id);
-            if losses.is_some_and(|losses| losses.is_suspect() && losses.is_over(instant)) {
+            let backoff = self.loss_backoffs.get(&back_end.id);
+            if backoff.is_some_and(|backoff| backoff.is_suspect() && backoff.is_over(instant)) {
                 balancer.report(&back_end.id, listed_report(back_end, now));
             }
         }
     }
 
-    /// The queue of those that wait for a place at a service.
-    pub(super) fn turns(&mut self, service: &ServiceName) -> &mut PlaceTurns {
-        if !self.turns.contains_key(service) {
-            self.turns.insert(service.clone(), PlaceTurns::default());
+    /// The queue of requests that wait for a slot of a service.
+    pub(super) fn slot_queue(&mut self, service: &ServiceName) -> &mut PlaceTurns {
+        if !self.slot_queues.contains_key(service) {
+            self.slot_queues
+                .insert(service.clone(), PlaceTurns::default());
         }
-        self.turns.get_mut(service).expect("it was inserted")
+        self.slot_queues.get_mut(service).expect("inserted above")
     }
 
-    /// False if a place that this request could have is another one's, which is told so.
-    pub(super) fn ask_turn(
+    /// Returns false if another request is next in the queue for the free slots that this request
+    /// could use, and wakes that request.
+    pub(super) fn may_take_slot(
         &mut self,
-        seeker: &PlaceSeeker,
+        waiter: &PlaceSeeker,
         excluded: &BTreeSet<EngineId>,
         now: Timestamp,
     ) -> bool {
-        let service = seeker.service();
-        let (balancer, turns) = (self.balancers.get(service), self.turns.get_mut(service));
-        let (Some(balancer), Some(turns)) = (balancer, turns) else {
+        let service = waiter.service();
+        let (balancer, queue) = (
+            self.balancers.get(service),
+            self.slot_queues.get_mut(service),
+        );
+        let (Some(balancer), Some(queue)) = (balancer, queue) else {
             return true;
         };
-        let demand = live_demand(excluded, &seeker.request().regions);
-        if turns.is_empty() || !balancer.has_place(now, demand) {
+        let demand = live_demand(excluded, &waiter.request().regions);
+        if queue.is_empty() || !balancer.has_place(now, demand) {
             return true;
         }
-        let nothing = BTreeSet::new();
-        turns.ask_turn(seeker, now, |regions| {
-            balancer.has_place(now, live_demand(&nothing, regions))
+        let no_exclusions = BTreeSet::new();
+        queue.ask_turn(waiter, now, |regions| {
+            balancer.has_place(now, live_demand(&no_exclusions, regions))
         })
     }
 
     pub(super) fn wake_first(&mut self, service: &ServiceName, now: Timestamp) {
-        let (balancer, turns) = (self.balancers.get(service), self.turns.get_mut(service));
-        let (Some(balancer), Some(turns)) = (balancer, turns) else {
+        let (balancer, queue) = (
+            self.balancers.get(service),
+            self.slot_queues.get_mut(service),
+        );
+        let (Some(balancer), Some(queue)) = (balancer, queue) else {
             return;
         };
-        if turns.is_empty() {
+        if queue.is_empty() {
             return;
         }
-        let nothing = BTreeSet::new();
-        turns.wake_first(now, |regions| {
-            balancer.has_place(now, live_demand(&nothing, regions))
+        let no_exclusions = BTreeSet::new();
+        queue.wake_first(now, |regions| {
+            balancer.has_place(now, live_demand(&no_exclusions, regions))
         });
     }
 
-    pub(super) fn held_back_by(&self, seeker: &PlaceSeeker) -> usize {
-        let turns = self.turns.get(seeker.service());
-        turns.map_or(0, |turns| turns.held_back_by(seeker))
+    /// The number of waiting requests that precede this one because its tenant exceeds its share.
+    pub(super) fn held_back_by(&self, waiter: &PlaceSeeker) -> usize {
+        let queue = self.slot_queues.get(waiter.service());
+        queue.map_or(0, |queue| queue.held_back_by(waiter))
     }
 
-    /// The names of all nodes, this one included once it has registered.
+    /// The names of all nodes, including this one once it is registered.
     pub(super) fn current_senders(&self) -> Vec<String> {
         let peers = self.peers.as_ref();
         peers.and_then(|peers| peers.names()).unwrap_or_default()
     }
 
-    /// What this node's live requests may send to a cold back end: nothing while the nodes'
-    /// rows that were read do not name this one, for the others' part is not known then.
+    /// The bound for this node's live requests to a cold back end. Zero while this node isn't
+    /// among the registered nodes, because the share of the others isn't known then.
     pub(super) fn live_bound(&self, budget: &ColdBudget, back_end: &EngineId) -> SendBound {
         if self.peers.is_some() && self.senders.is_empty() {
             return SendBound::NONE;
@@ -164,43 +171,43 @@
     }
 
     pub(super) fn note_outcome(&mut self, id: &EngineId, outcome: AttemptOutcome) {
-        let losses = self.losses.entry(id.clone()).or_default();
+        let backoff = self.loss_backoffs.entry(id.clone()).or_default();
         match outcome {
-            AttemptOutcome::Lost => losses.note_loss(BootInstant::now()),
-            AttemptOutcome::Refused => losses.note_refusal(BootInstant::now()),
-            AttemptOutcome::Answered => losses.note_success(),
+            AttemptOutcome::Lost => backoff.note_loss(BootInstant::now()),
+            AttemptOutcome::Refused => backoff.note_refusal(BootInstant::now()),
+            AttemptOutcome::Answered => backoff.note_success(),
             AttemptOutcome::Failed | AttemptOutcome::Abandoned => {}
         }
     }
 }
 
-/// How the cold back ends of a service are spared.
-struct Spared {
-    /// How long one is cold after it started.
-    lasts: Duration,
-    /// What cold ones may get; nothing means as much as warm ones.
+/// The limits that protect cold back ends of a service from overload.
+struct ColdLimits {
+    /// How long a back end is cold after its start.
+    cold_duration: Duration,
+    /// None if cold back ends get as many requests as warm ones.
     budgets: Option<ColdBudgets>,
 }
 
-impl Spared {
-    /// What is in force for a service.
+impl ColdLimits {
+    /// The limits from the configuration in force.
     fn new(state: &State, service: &ServiceName) -> Self {
         let Some(configuration) = &state.in_force.configuration else {
             return Self {
-                lasts: Duration::ZERO,
+                cold_duration: Duration::ZERO,
                 budgets: None,
             };
         };
         Self {
-            lasts: configuration.cold_bounds(service).lasts,
+            cold_duration: configuration.cold_bounds(service).lasts,
             budgets: state
                 .cold
                 .budgets(configuration, &state.leased_sets, service),
         }
     }
 
-    /// How a back end is to be spared; nothing if it is warm.
-    fn cold(
+    /// The limits of one back end; None if it is warm.
+    fn cold_engine(
         &self,
         state: &State,
         directory: &Directory,
@@ -208,7 +215,7 @@
         now: Timestamp,
     ) -> Option<ColdEngine> {
         let evacuations = &state.in_force.evacuations;
-        let until = directory.cold_until(back_end, evacuations, self.lasts)?;
+        let until = directory.cold_until(back_end, evacuations, self.cold_duration)?;
         let left = until.saturating_duration_since(BootInstant::now());
         let region = state.topology.region_of(&back_end.zone);
         let budget = self
@@ -223,7 +230,7 @@
     }
 }
 
-/// What a live request asks of a back end.
+/// The demand of a live request.
 pub(super) fn live_demand<'a>(
     excluded: &'a BTreeSet<EngineId>,
     regions: &'a AllowedRegions,
@@ -235,7 +242,7 @@
     }
 }
 
-/// The news that a back end is listed.
+/// The report for a back end because it is listed.
 fn listed_report(back_end: &BackEnd, now: Timestamp) -> EngineReport {
     EngineReport {
         observed_at: now,
--- a/crates/sloetrail-serving/src/subset_demand.rs
+++ b/crates/sloetrail-serving/src/subset_demand.rs
@@ -1,13 +1,12 @@
-//! How much of the directory a node wants to hold.
+//! How many rows of the directory a node needs.
 //!
-//! A node begins with enough rows for what it sends itself. It wants more when a service has
-//! too few back ends among them, or none has a place for a request, or when it owns a service's
-//! batches and these are more work than the engines that it holds bear; and all of them if it
-//! decides how many engines there are. It never wants less: what is held costs memory alone.
+//! A node starts with enough rows for its own requests. It demands more when a service has too
+//! few back ends among them or no free slot, or when it owns batches with more work than the known
+//! engines can run. It demands all rows if it decides how many engines there are. The demand never
+//! shrinks, since unneeded rows cost only memory.
 //!
-//! An owner so works with as many engines as its batches need, whatever the fleet has: each
-//! step of its work looks at all engines that it holds. With all 7,777 of a fleet of 985
-//! machines an owner sent 1,816 items in 11 s of a day, and no batch was done.
+//! An owner scans all engines that it knows in each step of its work, so it must know only as many
+//! as its batches need, whatever the size of the fleet.
 
 use crate::directory::Directory;
 use crate::operator::InForce;
@@ -17,72 +16,67 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::sync::watch;
 
-/// Rows that a node holds at first. Where services share the rows as the users' do, a fifth
-/// of them of applications, spread over five zones, these are two dozen applications in the
-/// node's zone.
-const ROWS_AT_FIRST: usize = 600;
-/// Every row.
-const ALL: usize = usize::MAX;
+const INITIAL_ROWS: usize = 600;
+const ALL_ROWS: usize = usize::MAX;
 
-/// Back ends of a service in the node's zone with which it has enough: with an eighth of them
-/// lost, as users' days have it, seven are left.
-const ENOUGH_IN_ZONE: usize = 8;
-/// Back ends of a service anywhere with which it has enough, if there are fewer in its zone.
-const ENOUGH_ANYWHERE: usize = 64;
+/// Back ends of a service in the node's zone that suffice.
+const MIN_IN_ZONE: usize = 8;
+/// Back ends of a service in all zones that suffice if its own zone has too few.
+const MIN_IN_ALL_ZONES: usize = 64;
 
-/// How many rows of the directory a node wants.
+/// The number of directory rows that a node demands.
 #[derive(Debug)]
 pub(crate) struct SubsetDemand {
-    wanted: watch::Sender<usize>,
-    /// How many were wanted when the directory was read last.
-    granted: AtomicUsize,
+    target_rows: watch::Sender<usize>,
+    /// The target at the last read of the directory; zero before it, or if all rows were read.
+    last_read_target: AtomicUsize,
 }
 
 impl Default for SubsetDemand {
     fn default() -> Self {
-        let (wanted, _) = watch::channel(ROWS_AT_FIRST);
+        let (target_rows, _) = watch::channel(INITIAL_ROWS);
         Self {
-            wanted,
-            granted: AtomicUsize::new(0),
+            target_rows,
+            last_read_target: AtomicUsize::new(0),
         }
     }
 }
 
 impl SubsetDemand {
-    /// How many rows are wanted, whenever that changes.
-    pub(crate) fn wanted(&self) -> watch::Receiver<usize> {
-        self.wanted.subscribe()
+    /// Subscribes to the number of demanded rows.
+    pub(crate) fn target_rows(&self) -> watch::Receiver<usize> {
+        self.target_rows.subscribe()
     }
 
-    /// Every back end is wanted from now on.
     pub(crate) fn demand_all(&self) {
-        self.wanted
-            .send_if_modified(|wanted| std::mem::replace(wanted, ALL) != ALL);
+        self.target_rows
+            .send_if_modified(|target| std::mem::replace(target, ALL_ROWS) != ALL_ROWS);
     }
 
-    /// More are wanted than there are. Asked again before the directory has been read, it
-    /// changes nothing.
+    /// Doubles the demand, at most once for each read of the directory. Has no effect if the last
+    /// read covered the whole directory.
     pub(crate) fn demand_more(&self) {
-        let granted = self.granted.load(Ordering::Relaxed);
-        self.wanted.send_if_modified(|wanted| {
-            let was_read = granted >= *wanted && *wanted != ALL;
+        let last_read_target = self.last_read_target.load(Ordering::Relaxed);
+        self.target_rows.send_if_modified(|target| {
+            let was_read = last_read_target >= *target && *target != ALL_ROWS;
             if was_read {
-                *wanted = wanted.saturating_mul(2);
+                *target = target.saturating_mul(2);
             }
             was_read
         });
     }
 
-    /// The directory was read when so many rows were wanted; all of them if `covers_all`.
-    pub(crate) fn grant(&self, wanted: usize, covers_all: bool) {
-        let granted = if covers_all { 0 } else { wanted };
-        self.granted.store(granted, Ordering::Relaxed);
+    /// Records a read of the directory for `target` rows. `covers_all` is true if it left out none.
+    pub(crate) fn record_read(&self, target: usize, covers_all: bool) {
+        let last_read_target = if covers_all { 0 } else { target };
+        self.last_read_target
+            .store(last_read_target, Ordering::Relaxed);
     }
 }
 
-/// Wants more of the directory while a service has too few back ends in the part that is held.
+/// Spawns a task that demands more rows while a service has too few back ends among the known rows.
 pub(crate) fn watch_subset_coverage(
-    interest: Arc<SubsetDemand>,
+    demand: Arc<SubsetDemand>,
     topology: Topology,
     mut directory: watch::Receiver<Arc<Directory>>,
     mut in_force: watch::Receiver<Arc<InForce>>,
@@ -96,12 +90,13 @@
             if changed.is_err() {
                 return;
             }
-            let held = directory.borrow_and_update().clone();
+            let known = directory.borrow_and_update().clone();
             let configuration = in_force.borrow_and_update().configuration.clone();
-            let has_enough = held.covers_all
-                || configuration.is_none_or(|known| has_enough(&held, &known, &topology));
+            let has_enough = known.covers_all
+                || configuration
+                    .is_none_or(|configuration| has_enough(&known, &configuration, &topology));
             if !has_enough {
-                interest.demand_more();
+                demand.demand_more();
             }
         }
     });
@@ -117,15 +112,15 @@
 }
 
 fn has_enough_of(directory: &Directory, service: &ServiceName, topology: &Topology) -> bool {
-    let (mut in_zone, mut anywhere) = (0, 0);
-    let ready = directory
+    let (mut in_zone, mut in_all_zones) = (0, 0);
+    let active = directory
         .of_service(service)
         .filter(|back_end| !back_end.draining);
-    for back_end in ready {
-        anywhere += 1;
+    for back_end in active {
+        in_all_zones += 1;
         in_zone += usize::from(back_end.zone == *topology.zone());
     }
-    in_zone >= ENOUGH_IN_ZONE || anywhere >= ENOUGH_ANYWHERE
+    in_zone >= MIN_IN_ZONE || in_all_zones >= MIN_IN_ALL_ZONES
 }
 
 #[cfg(test)]
--- a/crates/sloetrail-serving/src/subset_demand/tests.rs
+++ b/crates/sloetrail-serving/src/subset_demand/tests.rs
@@ -1,4 +1,4 @@
-use super::{ALL, ROWS_AT_FIRST, SubsetDemand, has_enough_of};
+use super::{ALL_ROWS, INITIAL_ROWS, SubsetDemand, has_enough_of};
 use crate::back_end::BackEnd;
 use crate::directory::Directory;
 use sloetrail_types::{EngineId, ServiceName, Topology, ZoneName};
@@ -6,36 +6,40 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn wanted(interest: &SubsetDemand) -> usize {
-    *interest.wanted().borrow()
+fn target_rows(demand: &SubsetDemand) -> usize {
+    *demand.target_rows().borrow()
 }
 
-/// Many requests find no place in the moment before the directory is read again.
+/// Many requests may find no free slot before the directory is read again.
 #[test]
-fn more_is_wanted_once_for_each_time_that_the_directory_was_read() {
-    let interest = SubsetDemand::default();
-    interest.demand_more();
-    assert_eq!(wanted(&interest), ROWS_AT_FIRST, "nothing was read so far");
-    interest.grant(ROWS_AT_FIRST, false);
+fn demand_doubles_at_most_once_per_read() {
+    let demand = SubsetDemand::default();
+    demand.demand_more();
+    assert_eq!(
+        target_rows(&demand),
+        INITIAL_ROWS,
+        "the directory was not read yet"
+    );
+    demand.record_read(INITIAL_ROWS, false);
     for _ in 0..100 {
-        interest.demand_more();
+        demand.demand_more();
     }
-    assert_eq!(wanted(&interest), 2 * ROWS_AT_FIRST);
+    assert_eq!(target_rows(&demand), 2 * INITIAL_ROWS);
 }
 
 #[test]
-fn there_is_no_more_than_all() {
-    let interest = SubsetDemand::default();
-    interest.grant(ROWS_AT_FIRST, true);
-    interest.demand_more();
-    assert_eq!(wanted(&interest), ROWS_AT_FIRST);
-    interest.demand_all();
-    interest.grant(ALL, false);
-    interest.demand_more();
-    assert_eq!(wanted(&interest), ALL);
+fn demand_does_not_exceed_the_whole_directory() {
+    let demand = SubsetDemand::default();
+    demand.record_read(INITIAL_ROWS, true);
+    demand.demand_more();
+    assert_eq!(target_rows(&demand), INITIAL_ROWS);
+    demand.demand_all();
+    demand.record_read(ALL_ROWS, false);
+    demand.demand_more();
+    assert_eq!(target_rows(&demand), ALL_ROWS);
 }
 
-/// A directory with so many applications in each of these zones, the first of which leave.
+/// A directory with `count` applications in each zone, of which the first `leaving` are draining.
 fn directory(zones: &[(&str, usize)], leaving: usize) -> Directory {
     let mut directory = Directory::default();
     for (zone, count) in zones {
@@ -46,7 +50,7 @@
                 instance: id.as_str().to_owned(),
                 started_ms: None,
                 service: ServiceName::from("apps"),
-                address: "127.0.0.1:1".parse().expect("an address"),
+                address: "127.0.0.1:1".parse().expect("valid address"),
                 zone: ZoneName::from(*zone),
                 slots: 6,
                 draining: number < leaving,
@@ -67,15 +71,15 @@
 }
 
 #[test]
-fn a_few_in_the_zone_or_many_anywhere_are_enough() {
+fn few_in_the_zone_or_many_elsewhere_suffice() {
     assert!(is_enough(&directory(&[("near", 8)], 0)));
     assert!(!is_enough(&directory(&[("near", 7), ("far", 50)], 0)));
     assert!(is_enough(&directory(&[("far", 64)], 0)));
     assert!(!is_enough(&directory(&[], 0)));
 }
 
-/// All that a node holds may leave at once.
+/// All known back ends of a zone may leave at once.
 #[test]
-fn those_that_leave_do_not_count() {
+fn leaving_back_ends_do_not_count() {
     assert!(!is_enough(&directory(&[("near", 20), ("far", 40)], 20)));
 }
