--- a/crates/sloetrail-serving-testkit/src/engine.rs
+++ b/crates/sloetrail-serving-testkit/src/engine.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    fn cold_left(&self) -> Duration {
+    fn cold_remaining(&self) -> Duration {
         let last = self.colds.last();
         last.map_or(Duration::ZERO, |(began, time)| {
             time.saturating_sub(began.elapsed())
@@ -185,7 +185,7 @@
             zone: self.zone.clone(),
             slots: SLOTS,
             draining: state.draining,
-            cold_left_ms: state.cold_left().as_millis() as u64,
+            cold_left_ms: state.cold_remaining().as_millis() as u64,
             versions: state.versions.clone(),
             software: state.software.clone(),
             started_ms: self.started_ms,
--- a/crates/sloetrail-serving/src/back_end.rs
+++ b/crates/sloetrail-serving/src/back_end.rs
@@ -24,7 +24,7 @@
     /// True if it accepts no new work.
     pub draining: bool,
     /// The remaining cold time when the row was written; zero if warm.
-    pub cold_left: Duration,
+    pub cold_remaining: Duration,
     /// The weight version in use, by model.
     pub versions: BTreeMap<String, WeightVersion>,
     /// The software version, if reported.
@@ -43,7 +43,8 @@
     ///
     /// If the slot count or the cold time is out of range.
     pub fn checked(self) -> Result<Self, DialectError> {
-        let is_valid = (1..=MAX_SLOTS).contains(&self.slots) && self.cold_left <= MAX_COLD_TIME;
+        let is_valid =
+            (1..=MAX_SLOTS).contains(&self.slots) && self.cold_remaining <= MAX_COLD_TIME;
         match is_valid {
             true => Ok(self),
             false => Err(DialectError {
--- a/crates/sloetrail-serving/src/back_end_connections.rs
+++ b/crates/sloetrail-serving/src/back_end_connections.rs
@@ -45,11 +45,12 @@
         &self,
         back_end: &BackEnd,
         request: Request<WholeBody>,
-        permit: Option<&Passage>,
+        quarantine_permit: Option<&Passage>,
         reuse: Reuse,
         deadline: BootInstant,
     ) -> Result<Exchange, SendFailure> {
-        let takes_work = || self.takes_work(back_end) && permit.is_none_or(Passage::is_open);
+        let takes_work =
+            || self.takes_work(back_end) && quarantine_permit.is_none_or(Passage::is_open);
         // Checked before connecting too: an unused connection still costs the back end resources.
         let sent = match takes_work() {
             true => {
--- a/crates/sloetrail-serving/src/directory.rs
+++ b/crates/sloetrail-serving/src/directory.rs
@@ -165,8 +165,8 @@
         }
         let back_end = back_end.map(Arc::new);
         if let Some(back_end) = &back_end {
-            if !back_end.cold_left.is_zero() {
-                let cold_until = now + back_end.cold_left;
+            if !back_end.cold_remaining.is_zero() {
+                let cold_until = now + back_end.cold_remaining;
                 self.cold_until.insert(back_end.id.clone(), cold_until);
             }
             let id = back_end.id.clone();
@@ -224,7 +224,7 @@
 }
 
 fn log_differences(before: &Directory, after: &Directory) {
-    let state = |back_end: &BackEnd| match (back_end.draining, back_end.cold_left.is_zero()) {
+    let state = |back_end: &BackEnd| match (back_end.draining, back_end.cold_remaining.is_zero()) {
         (true, _) => "draining",
         (false, true) => "ready",
         (false, false) => "cold",
--- a/crates/sloetrail-serving/src/directory/tests.rs
+++ b/crates/sloetrail-serving/src/directory/tests.rs
@@ -57,7 +57,7 @@
 }
 
 /// The remaining cold time of the back end.
-fn cold_left(directory: &Directory, evacuations: &Evacuations) -> Option<Duration> {
+fn cold_remaining(directory: &Directory, evacuations: &Evacuations) -> Option<Duration> {
     let back_end = &directory.back_ends[&EngineId::from("e1")];
     let until = directory.cold_until(back_end, evacuations, COLD_DURATION)?;
     Some(until - BootInstant::now())
@@ -67,15 +67,15 @@
 async fn rereading_an_unchanged_row_does_not_restart_cold_time() {
     let none = Evacuations::default();
     let first = updated(&Directory::default(), &table(1, 3_000));
-    assert_eq!(cold_left(&first, &none), Some(milliseconds(3_000)));
+    assert_eq!(cold_remaining(&first, &none), Some(milliseconds(3_000)));
     assert_eq!(first.cold_count(BootInstant::now()), 1);
     advance(milliseconds(1_000)).await;
     let mut later = table(1, 3_000);
     later.version = RowVersion(9);
     let again = updated(&first, &later);
-    assert_eq!(cold_left(&again, &none), Some(milliseconds(2_000)));
+    assert_eq!(cold_remaining(&again, &none), Some(milliseconds(2_000)));
     advance(milliseconds(2_000)).await;
-    assert_eq!(cold_left(&again, &none), None);
+    assert_eq!(cold_remaining(&again, &none), None);
     assert_eq!(again.cold_count(BootInstant::now()), 0);
 }
 
@@ -84,24 +84,24 @@
     let none = Evacuations::default();
     let cold = updated(&Directory::default(), &table(1, 3_000));
     let warm = updated(&cold, &table(2, 0));
-    assert_eq!(cold_left(&warm, &none), None);
+    assert_eq!(cold_remaining(&warm, &none), None);
     let again = updated(&warm, &table(3, 2_500));
-    assert_eq!(cold_left(&again, &none), Some(milliseconds(2_500)));
+    assert_eq!(cold_remaining(&again, &none), Some(milliseconds(2_500)));
     let relisted = updated(&updated(&again, &empty(4)), &table(5, 2_000));
-    assert_eq!(cold_left(&relisted, &none), Some(milliseconds(2_000)));
+    assert_eq!(cold_remaining(&relisted, &none), Some(milliseconds(2_000)));
 }
 
 #[tokio::test(start_paused = true)]
 async fn back_ends_are_cold_after_evacuation_is_withdrawn() {
     let warm = updated(&Directory::default(), &table(1, 0));
     let of_zone = withdrawn("north");
-    assert_eq!(cold_left(&warm, &of_zone), Some(COLD_DURATION));
-    assert_eq!(cold_left(&warm, &withdrawn("south")), None);
+    assert_eq!(cold_remaining(&warm, &of_zone), Some(COLD_DURATION));
+    assert_eq!(cold_remaining(&warm, &withdrawn("south")), None);
     let cold = updated(&warm, &table(2, 6_000));
-    let longer = cold_left(&cold, &of_zone);
+    let longer = cold_remaining(&cold, &of_zone);
     assert_eq!(longer, Some(milliseconds(6_000)), "the later end applies");
     advance(COLD_DURATION).await;
-    assert_eq!(cold_left(&warm, &of_zone), None);
+    assert_eq!(cold_remaining(&warm, &of_zone), None);
 }
 
 /// A table with one back end whose incarnation started at this time.
@@ -185,14 +185,14 @@
     let mut view = empty(1);
     view.rows = (0..BACK_ENDS).map(|number| row(number, 1)).collect();
     let mut directory = updated(&Directory::default(), &view);
-    let began = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     for number in 0..BACK_ENDS {
         let (key, changed) = row(number, number + 2);
         view.rows.insert(key, changed);
         view.version = RowVersion(number + 2);
         directory = updated(&directory, &view);
     }
-    let each = began.elapsed() / BACK_ENDS as u32;
+    let each = started_at.elapsed() / BACK_ENDS as u32;
     assert_eq!(directory.back_ends.len(), BACK_ENDS as usize);
     println!("update of one row among {BACK_ENDS}: {each:?}");
     assert!(each < std::time::Duration::from_millis(20), "{each:?}");
--- a/crates/sloetrail-serving/src/follow.rs
+++ b/crates/sloetrail-serving/src/follow.rs
@@ -142,12 +142,12 @@
             match step {
                 Ok(Progress::UpToDate) => {
                     retry.reset();
-                    self.note_answer();
+                    self.record_answer();
                     must_read_all = self.wait_for_next_poll(subset.as_mut()).await;
                 }
                 Ok(Progress::NeedsMoreRows) | Err(ReadError::HistoryLost) => must_read_all = true,
                 Err(ReadError::Unavailable) => {
-                    self.note_interruption();
+                    self.record_interruption();
                     retry.wait(&*self.table).await;
                 }
             }
@@ -183,10 +183,10 @@
         let mut is_late =
             requested_at.is_some_and(|requested_at| requested_at.elapsed() > late_after);
         if !is_late {
-            let began = BootInstant::now();
+            let started_at = BootInstant::now();
             let delay = self.timing.delay.now();
             tokio::time::sleep(delay).await;
-            is_late = began.elapsed() > delay + LATENESS_THRESHOLD;
+            is_late = started_at.elapsed() > delay + LATENESS_THRESHOLD;
         }
         if is_late {
             self.immediate_polls = IMMEDIATE_POLLS;
@@ -256,14 +256,14 @@
         });
     }
 
-    fn note_answer(&mut self) {
+    fn record_answer(&mut self) {
         if std::mem::take(&mut self.interrupted) {
             let table = &self.name;
             events::emit(&Event::DependencyRegained { dependency: table });
         }
     }
 
-    fn note_interruption(&mut self) {
+    fn record_interruption(&mut self) {
         self.sender.send_modify(|current| {
             Arc::make_mut(current).interruptions += 1;
         });
--- a/crates/sloetrail-serving/src/gateway/live.rs
+++ b/crates/sloetrail-serving/src/gateway/live.rs
@@ -415,7 +415,7 @@
         }
         if let AttemptResult::Answered(_) = &result {
             let pools = &self.call.context.pools;
-            pools.note_answer(&self.call.service, took);
+            pools.record_answer_time(&self.call.service, took);
         }
         self.count(&result, send);
         match result {
--- a/crates/sloetrail-serving/src/native_dialect.rs
+++ b/crates/sloetrail-serving/src/native_dialect.rs
@@ -121,7 +121,7 @@
             zone: row.zone,
             slots: row.slots,
             draining: row.draining,
-            cold_left: Duration::from_millis(row.cold_left_ms),
+            cold_remaining: Duration::from_millis(row.cold_left_ms),
             versions: row.versions,
             software: row.software,
         };
--- a/crates/sloetrail-serving/src/owner/engines/tests.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests.rs
@@ -42,7 +42,7 @@
         zone: ZoneName::from("z"),
         slots: 8,
         draining: draining.contains(&number),
-        cold_left: Duration::ZERO,
+        cold_remaining: Duration::ZERO,
         versions: MODELS
             .iter()
             .map(|model| ((*model).to_owned(), WeightVersion(1)))
--- a/crates/sloetrail-serving/src/place_turns.rs
+++ b/crates/sloetrail-serving/src/place_turns.rs
@@ -165,7 +165,7 @@
     fn drop(&mut self) {
         self.leave();
         if !self.has_had_place {
-            self.pools.note_unserved(self);
+            self.pools.record_unserved(self);
         }
     }
 }
--- a/crates/sloetrail-serving/src/service_pools.rs
+++ b/crates/sloetrail-serving/src/service_pools.rs
@@ -240,7 +240,7 @@
 
     /// Records a request that ended without ever having had a slot, for the fairness of the queue.
     /// Requests that no back end may serve don't count.
-    pub(crate) fn note_unserved(&self, waiter: &PlaceSeeker) {
+    pub(crate) fn record_unserved(&self, waiter: &PlaceSeeker) {
         let (service, regions) = (waiter.service(), &waiter.request().regions);
         let now = self.now();
         let mut state = self.state.lock().expect("not poisoned");
@@ -258,7 +258,7 @@
     }
 
     /// Records the answer time of a back end of a service.
-    pub(crate) fn note_answer(&self, service: &ServiceName, took: Duration) {
+    pub(crate) fn record_answer_time(&self, service: &ServiceName, took: Duration) {
         let mut state = self.state.lock().expect("not poisoned");
         state
             .answer_times
@@ -277,7 +277,7 @@
     fn finish(&self, back_end: &BackEnd, tenant: &WorkOwner, outcome: AttemptOutcome) {
         let now = self.now();
         let mut state = self.state.lock().expect("not poisoned");
-        state.note_outcome(&back_end.id, outcome);
+        state.record_outcome(&back_end.id, outcome);
         if let Some(balancer) = state.balancers.get_mut(&back_end.service) {
             balancer.finish(now, &back_end.id, outcome);
         }
--- a/crates/sloetrail-serving/src/service_pools/state.rs
+++ b/crates/sloetrail-serving/src/service_pools/state.rs
@@ -170,7 +170,7 @@
         budget.live_bound(back_end.as_str(), &self.node, senders)
     }
 
-    pub(super) fn note_outcome(&mut self, id: &EngineId, outcome: AttemptOutcome) {
+    pub(super) fn record_outcome(&mut self, id: &EngineId, outcome: AttemptOutcome) {
         let backoff = self.loss_backoffs.entry(id.clone()).or_default();
         match outcome {
             AttemptOutcome::Lost => backoff.note_loss(BootInstant::now()),
@@ -216,7 +216,7 @@
     ) -> Option<ColdEngine> {
         let evacuations = &state.in_force.evacuations;
         let until = directory.cold_until(back_end, evacuations, self.cold_duration)?;
-        let left = until.saturating_duration_since(BootInstant::now());
+        let remaining = until.saturating_duration_since(BootInstant::now());
         let region = state.topology.region_of(&back_end.zone);
         let budget = self
             .budgets
@@ -224,7 +224,7 @@
             .map(|budgets| budgets.of_region(region));
         let bound = budget.map(|budget| state.live_bound(&budget, &back_end.id));
         Some(ColdEngine {
-            until: now.after(left),
+            until: now.after(remaining),
             bound,
         })
     }
--- a/crates/sloetrail-serving/src/subset_demand/tests.rs
+++ b/crates/sloetrail-serving/src/subset_demand/tests.rs
@@ -54,7 +54,7 @@
                 zone: ZoneName::from(*zone),
                 slots: 6,
                 draining: number < leaving,
-                cold_left: Duration::ZERO,
+                cold_remaining: Duration::ZERO,
                 versions: BTreeMap::new(),
                 software: None,
             };
