--- a/crates/sloetrail-serving/src/owner/batch_turns.rs
+++ b/crates/sloetrail-serving/src/owner/batch_scheduler.rs
@@ -21,12 +21,12 @@
 type Rank = BTreeMap<WorkOwner, VecDeque<Candidate>>;
 
 /// The batches that have not been found to have nothing to start.
-pub(super) struct BatchTurns<'a> {
+pub(super) struct BatchScheduler<'a> {
     shares: &'a mut TenantShares,
     ranks: BTreeMap<Urgency, Rank>,
 }
 
-impl<'a> BatchTurns<'a> {
+impl<'a> BatchScheduler<'a> {
     /// Turns among these batches; `shares` says what their tenants have under way.
     pub(super) fn new<'b>(
         shares: &'a mut TenantShares,
--- a/crates/sloetrail-serving/src/owner/batch_turns/tests.rs
+++ b/crates/sloetrail-serving/src/owner/batch_scheduler/tests.rs
@@ -1,6 +1,6 @@
 //! Who goes next among batches, as the owner asks for it.
 
-use super::BatchTurns;
+use super::BatchScheduler;
 use sloetrail_balance::TenantShares;
 use sloetrail_batch::{BatchHeader, BatchId};
 use sloetrail_types::{AllowedRegions, ServiceName, TenantName, WeightVersion};
@@ -38,7 +38,7 @@
         batches.iter().map(|(id, _, items)| (*id, *items)).collect();
     let mut started = Vec::new();
     let headers = batches.iter().map(|(_, header, _)| header);
-    BatchTurns::new(shares, ids.iter().zip(headers)).run(|id| {
+    BatchScheduler::new(shares, ids.iter().zip(headers)).run(|id| {
         let items = left.get_mut(id.as_str()).expect("known");
         if *items == 0 || started.len() == places {
             return false;
@@ -112,7 +112,7 @@
     let began = Instant::now();
     let mut looks = 0;
     let batches = headers.iter().map(|(id, header)| (id, header));
-    BatchTurns::new(&mut shares, batches).run(|_| {
+    BatchScheduler::new(&mut shares, batches).run(|_| {
         looks += 1;
         false
     });
--- a/crates/sloetrail-serving/src/owner/committer.rs
+++ b/crates/sloetrail-serving/src/owner/committer.rs
@@ -22,14 +22,14 @@
 /// What is to be committed.
 pub(super) enum CommitRequest {
     /// A batch has been loaded; its next free position.
-    Open {
+    OpenBatch {
         /// The batch.
         batch: BatchId,
         /// The next free position.
         next_position: usize,
     },
     /// A result to list.
-    List {
+    ListResult {
         /// The batch.
         batch: BatchId,
         /// The item's place in its submission.
@@ -38,7 +38,7 @@
         result: ListedResult,
     },
     /// How many runs of an item have failed.
-    Failed {
+    RecordFailedRuns {
         /// The batch.
         batch: BatchId,
         /// The item's place in its submission.
@@ -47,7 +47,7 @@
         failed_runs: usize,
     },
     /// A piece of a text to keep.
-    Keep {
+    SaveCheckpoint {
         /// The batch.
         batch: BatchId,
         /// The piece.
@@ -138,14 +138,14 @@
     limits: TableLimits,
 ) -> Option<Pending> {
     match request {
-        CommitRequest::Open {
+        CommitRequest::OpenBatch {
             batch,
             next_position,
         } => {
             positions.insert(batch, next_position);
             None
         }
-        CommitRequest::List {
+        CommitRequest::ListResult {
             batch,
             index,
             result,
@@ -169,7 +169,7 @@
                 listed: Some(listed),
             })
         }
-        CommitRequest::Failed {
+        CommitRequest::RecordFailedRuns {
             batch,
             index,
             failed_runs,
@@ -181,7 +181,7 @@
                 listed: None,
             })
         }
-        CommitRequest::Keep { batch, checkpoint } => {
+        CommitRequest::SaveCheckpoint { batch, checkpoint } => {
             let Checkpoint {
                 index,
                 generation,
--- a/crates/sloetrail-serving/src/owner/engine.rs
+++ b/crates/sloetrail-serving/src/owner/engine.rs
@@ -1,7 +1,7 @@
 //! One engine, as the owner of its service sees it.
 
 use super::engine_sends::EngineSends;
-use super::pace::PaceMeter;
+use super::event_interval::EventIntervalMeter;
 use crate::back_end::BackEnd;
 use crate::events::{self, Event};
 use crate::loss_backoff::LossBackoff;
@@ -30,7 +30,7 @@
 
 /// A change of weights that an engine has accepted.
 #[derive(Clone, Debug)]
-pub(super) struct VersionChangeUnderWay {
+pub(super) struct VersionChangeInFlight {
     pub(super) model: String,
     pub(super) version: WeightVersion,
     pub(super) accepted_at: BootInstant,
@@ -38,7 +38,7 @@
 
 /// What an engine's state in the deployment means for sends to it.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Sparing {
+pub(super) struct SendLimits {
     /// True if nothing is to be sent to its zone for now.
     pub(super) evacuated: bool,
     /// Until when it is cold.
@@ -51,14 +51,14 @@
 pub(super) struct Engine {
     pub(super) back_end: Arc<BackEnd>,
     pub(super) running: usize,
-    pub(super) pace: Arc<PaceMeter>,
+    pub(super) event_interval: Arc<EventIntervalMeter>,
     /// The versions that it is believed to use.
     pub(super) versions: BTreeMap<String, WeightVersion>,
-    pub(super) change: Option<VersionChangeUnderWay>,
+    pub(super) change: Option<VersionChangeInFlight>,
     /// The model that it is kept up to date for.
     pub(super) assigned: Option<String>,
     /// True while a call about an order is on its way.
-    pub(super) is_being_ordered: bool,
+    pub(super) has_order_in_flight: bool,
     /// No order is given before.
     pub(super) order_not_before: BootInstant,
     is_slow: bool,
@@ -72,7 +72,7 @@
     /// are started together all find the same ones at rest.
     left_connections: usize,
     losses: LossBackoff,
-    sparing: Sparing,
+    sparing: SendLimits,
     /// What this owner sent it last.
     sends: Arc<EngineSends>,
     /// When this owner took it in.
@@ -81,7 +81,7 @@
 
 /// What an item demands of an engine.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Demand<'a> {
+pub(super) struct ModelRequirement<'a> {
     pub(super) model: Option<&'a str>,
     pub(super) oldest_version: WeightVersion,
 }
@@ -93,11 +93,11 @@
         Self {
             back_end: Arc::clone(back_end),
             running: 0,
-            pace: Arc::default(),
+            event_interval: Arc::default(),
             versions: back_end.versions.clone(),
             change: None,
             assigned: None,
-            is_being_ordered: false,
+            has_order_in_flight: false,
             order_not_before: now,
             is_slow: false,
             place_kept_until: None,
@@ -106,7 +106,7 @@
             finished_at: None,
             left_connections: 0,
             losses: LossBackoff::default(),
-            sparing: Sparing::default(),
+            sparing: SendLimits::default(),
             sends: Arc::new(EngineSends::new(now)),
             taken_in_at: now,
         }
@@ -114,22 +114,22 @@
 
     /// Takes in the engine's row. A version there counts only if it is news: the row
     /// lags behind what the engine's own answers have told.
-    pub(super) fn take_row(&mut self, back_end: &Arc<BackEnd>) {
+    pub(super) fn apply_row(&mut self, back_end: &Arc<BackEnd>) {
         for (model, version) in &back_end.versions {
             if self.back_end.versions.get(model) != Some(version) {
-                self.note_version(model, *version, "directory");
+                self.record_version(model, *version, "directory");
             }
         }
         self.back_end = Arc::clone(back_end);
     }
 
     /// Takes in what its state in the deployment means for sends to it.
-    pub(super) fn set_sparing(&mut self, sparing: Sparing) {
+    pub(super) fn set_send_limits(&mut self, sparing: SendLimits) {
         self.sparing = sparing;
     }
 
     /// The directory lists the engine no more.
-    pub(super) fn mark_gone(&mut self) {
+    pub(super) fn mark_unlisted(&mut self) {
         if !self.back_end.draining {
             let mut gone = BackEnd::clone(&self.back_end);
             gone.draining = true;
@@ -138,7 +138,7 @@
     }
 
     /// Takes in a version that the engine is known to use.
-    pub(super) fn note_version(&mut self, model: &str, version: WeightVersion, source: &str) {
+    pub(super) fn record_version(&mut self, model: &str, version: WeightVersion, source: &str) {
         if self.versions.get(model) == Some(&version) {
             return;
         }
@@ -206,7 +206,7 @@
 
     /// What may be sent again by a run that has met a silence; nothing if that is not
     /// bounded. The engine may have turned cold meanwhile.
-    pub(super) fn repeat_bound(&self) -> Option<SendBound> {
+    pub(super) fn resend_bound(&self) -> Option<SendBound> {
         self.sparing.budget.map(|budget| budget.owner_bound())
     }
 
@@ -216,32 +216,32 @@
     }
 
     /// True if the engine takes an item with this demand now.
-    pub(super) fn can_take(&self, demand: Demand<'_>, now: BootInstant) -> bool {
+    pub(super) fn can_take(&self, demand: ModelRequirement<'_>, now: BootInstant) -> bool {
         let has_room = match self.is_slow {
             true => self.running == 0 && now >= self.probed_at + PROBE_PERIOD,
-            false => self.free_places(now) > 0,
+            false => self.free_slots(now) > 0,
         };
         self.is_usable(now) && has_room && self.bears_more(now) && self.has_version(demand)
     }
 
     /// Places that neither a run nor an item that is moved here has taken.
-    pub(super) fn free_places(&self, now: BootInstant) -> usize {
+    pub(super) fn free_slots(&self, now: BootInstant) -> usize {
         let is_kept = self.place_kept_until.is_some_and(|until| now < until);
         let taken = self.running + usize::from(is_kept);
         self.back_end.slots.saturating_sub(taken)
     }
 
     /// Keeps a place for an item that is moved here, for a short time.
-    pub(super) fn keep_place(&mut self, now: BootInstant) {
+    pub(super) fn reserve_slot(&mut self, now: BootInstant) {
         self.place_kept_until = Some(now + PLACE_KEPT_FOR);
     }
 
     /// The item that a place was kept for has come, or will not come.
-    pub(super) fn release_place(&mut self) {
+    pub(super) fn release_slot(&mut self) {
         self.place_kept_until = None;
     }
 
-    fn has_version(&self, demand: Demand<'_>) -> bool {
+    fn has_version(&self, demand: ModelRequirement<'_>) -> bool {
         let Some(model) = demand.model else {
             return true;
         };
@@ -258,36 +258,36 @@
     }
 
     /// An item was sent to the engine.
-    pub(super) fn started(&mut self) {
+    pub(super) fn record_start(&mut self) {
         self.running += 1;
         self.left_connections = self.left_connections.saturating_sub(1);
         let now = BootInstant::now();
-        self.sends.note(now);
+        self.sends.record(now);
         if self.is_slow {
             self.probed_at = now;
-            self.pace.reset();
+            self.event_interval.reset();
         }
     }
 
     /// The engine refused an item without running it.
-    pub(super) fn refused(&mut self) {
+    pub(super) fn record_refusal(&mut self) {
         self.not_before = BootInstant::now() + REFUSED_PAUSE;
     }
 
     /// The engine could not be reached, broke off or fell silent.
-    pub(super) fn lost(&mut self) {
+    pub(super) fn record_loss(&mut self) {
         self.losses.note_loss(BootInstant::now());
     }
 
     /// The engine brought an item to its end.
-    pub(super) fn finished(&mut self) {
+    pub(super) fn record_completion(&mut self) {
         self.losses.note_success();
         self.finished_at = Some(BootInstant::now());
         self.left_connections += 1;
     }
 
     /// True if an item may find a connection that another one has left, if it still rests.
-    pub(super) fn has_left_connection(&self) -> bool {
+    pub(super) fn may_have_idle_connection(&self) -> bool {
         self.left_connections > 0
     }
 
@@ -298,15 +298,15 @@
 
     /// Forgets a change of weights that takes too long: the engine is asked again.
     pub(super) fn expire_change(&mut self, now: BootInstant) {
-        let is_late = |change: &VersionChangeUnderWay| now > change.accepted_at + CHANGE_LIMIT;
+        let is_late = |change: &VersionChangeInFlight| now > change.accepted_at + CHANGE_LIMIT;
         if self.change.as_ref().is_some_and(is_late) {
             self.change = None;
         }
     }
 
     /// Compares its pace with the median; true if its mark has changed.
-    pub(super) fn judge_pace(&mut self, median: u64) -> bool {
-        let Some(pace) = self.pace.microseconds() else {
+    pub(super) fn update_slow(&mut self, median: u64) -> bool {
+        let Some(pace) = self.event_interval.microseconds() else {
             return false;
         };
         let factor = pace as f64 / median.max(1) as f64;
--- a/crates/sloetrail-serving/src/owner/engine_sends.rs
+++ b/crates/sloetrail-serving/src/owner/engine_sends.rs
@@ -35,12 +35,12 @@
     }
 
     /// Takes in a send.
-    pub(super) fn note(&self, now: BootInstant) {
+    pub(super) fn record(&self, now: BootInstant) {
         self.window().note(self.timestamp(now));
     }
 
     /// Takes in a send if it keeps the bound; false if it does not and may not be made.
-    pub(super) fn note_within(&self, now: BootInstant, bound: Option<SendBound>) -> bool {
+    pub(super) fn try_record(&self, now: BootInstant, bound: Option<SendBound>) -> bool {
         let at = self.timestamp(now);
         let mut window = self.window();
         let is_allowed = bound.is_none_or(|bound| window.has_room(at, bound));
--- a/crates/sloetrail-serving/src/owner/engines.rs
+++ b/crates/sloetrail-serving/src/owner/engines.rs
@@ -1,7 +1,7 @@
 //! The engines of a service, as its owner sees them.
 
 use super::assignment::{ModelShare, assign_models};
-use super::engine::{Demand, Engine, Sparing};
+use super::engine::{Engine, ModelRequirement, SendLimits};
 use crate::back_end::BackEnd;
 use crate::directory::Directory;
 use sloetrail_clock::BootInstant;
@@ -11,7 +11,7 @@
 
 /// Paces within this factor of one another count as alike: an engine that is full is
 /// that much slower than an empty one of the same kind.
-pub(super) const PACE_STEP: f64 = 1.12;
+pub(super) const SIMILAR_INTERVAL_FACTOR: f64 = 1.12;
 
 /// Which of the engines that could take an item is wanted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// a connection opened for them.
     Connected,
     /// The emptiest.
-    Emptiest,
+    LeastLoaded,
 }
 
 /// An engine with a free place.
@@ -33,7 +33,7 @@
     /// The engine.
     pub(super) id: EngineId,
     /// Microseconds an event.
-    pub(super) pace: u64,
+    pub(super) event_interval_us: u64,
 }
 
 /// The grade of a pace relative to the median, lower for faster engines; an engine
@@ -42,7 +42,7 @@
     match (pace, median) {
         (Some(pace), Some(median)) if pace > 0 && median > 0 => {
             let ratio = pace as f64 / median as f64;
-            (ratio.ln() / PACE_STEP.ln()).round() as i32
+            (ratio.ln() / SIMILAR_INTERVAL_FACTOR.ln()).round() as i32
         }
         _ => 0,
     }
@@ -58,7 +58,7 @@
 
 impl EnginePool {
     /// No engines yet, and later on those of these regions alone.
-    pub(super) fn within(topology: Topology, regions: AllowedRegions) -> Self {
+    pub(super) fn within_regions(topology: Topology, regions: AllowedRegions) -> Self {
         Self {
             engines: BTreeMap::new(),
             bound: Some((topology, regions)),
@@ -71,13 +71,13 @@
     }
 
     /// Takes in the directory.
-    pub(super) fn take_directory(&mut self, directory: &Directory, service: &ServiceName) {
+    pub(super) fn apply_directory(&mut self, directory: &Directory, service: &ServiceName) {
         for back_end in directory.of_service(service) {
             if !self.may_use(back_end) {
                 continue;
             }
             match self.engines.get_mut(&back_end.id) {
-                Some(engine) => engine.take_row(back_end),
+                Some(engine) => engine.apply_row(back_end),
                 None => {
                     let engine = Engine::new(back_end);
                     self.engines.insert(back_end.id.clone(), engine);
@@ -89,17 +89,17 @@
             let row = directory.back_ends.get(id);
             let is_listed = row.is_some_and(|row| row.service == *service);
             if !is_listed {
-                engine.mark_gone();
+                engine.mark_unlisted();
             }
             is_listed || engine.is_in_use(now)
         });
     }
 
     /// Takes in what the engines' state in the deployment means for sends to them.
-    pub(super) fn set_sparing(&mut self, sparing: impl Fn(&BackEnd) -> Sparing) {
+    pub(super) fn set_send_limits(&mut self, sparing: impl Fn(&BackEnd) -> SendLimits) {
         for engine in self.engines.values_mut() {
             let sparing = sparing(&engine.back_end);
-            engine.set_sparing(sparing);
+            engine.set_send_limits(sparing);
         }
     }
 
@@ -114,7 +114,7 @@
     /// connection to it is kept. `is_connected` tells whether one rests there.
     pub(super) fn pick(
         &self,
-        demand: Demand<'_>,
+        demand: ModelRequirement<'_>,
         now: BootInstant,
         preference: EnginePreference,
         is_connected: impl Fn(&BackEnd) -> bool,
@@ -124,19 +124,21 @@
             .iter()
             .filter(|(_, engine)| engine.can_take(demand, now));
         let median = match preference {
-            EnginePreference::Fastest => self.median_pace(),
-            EnginePreference::Connected | EnginePreference::Emptiest => None,
+            EnginePreference::Fastest => self.median_event_interval_us(),
+            EnginePreference::Connected | EnginePreference::LeastLoaded => None,
         };
         let best = able.min_by_key(|(_, engine)| {
             let assigned = demand.model.is_none_or(|model| engine.is_assigned(model));
             let used_last = engine.finished_at();
             let grade = match preference {
-                EnginePreference::Fastest => pace_grade(engine.pace.microseconds(), median),
+                EnginePreference::Fastest => {
+                    pace_grade(engine.event_interval.microseconds(), median)
+                }
                 EnginePreference::Connected => {
-                    let rests = engine.has_left_connection() && is_connected(&engine.back_end);
+                    let rests = engine.may_have_idle_connection() && is_connected(&engine.back_end);
                     i32::from(!rests)
                 }
-                EnginePreference::Emptiest => 0,
+                EnginePreference::LeastLoaded => 0,
             };
             (
                 !assigned,
@@ -152,7 +154,11 @@
 
     /// Engines that are neither slow nor cold, meet a demand and have a free place, with
     /// their paces; the fastest first. Engines whose pace is not known are left out.
-    pub(super) fn free_engines(&self, demand: Demand<'_>, now: BootInstant) -> Vec<FreeEngine> {
+    pub(super) fn free_engines(
+        &self,
+        demand: ModelRequirement<'_>,
+        now: BootInstant,
+    ) -> Vec<FreeEngine> {
         let able = self.engines.iter().filter(|(_, engine)| {
             let assigned = demand.model.is_none_or(|model| engine.is_assigned(model));
             let is_ordinary = !engine.is_slow() && !engine.is_cold(now);
@@ -162,44 +168,44 @@
             .filter_map(|(id, engine)| {
                 Some(FreeEngine {
                     id: id.clone(),
-                    pace: engine.pace.microseconds()?,
+                    event_interval_us: engine.event_interval.microseconds()?,
                 })
             })
             .collect();
-        free.sort_by_key(|engine| engine.pace);
+        free.sort_by_key(|engine| engine.event_interval_us);
         free
     }
 
     /// Free places of engines that are neither slow nor cold and meet a demand.
-    pub(super) fn fast_places(&self, demand: Demand<'_>, now: BootInstant) -> usize {
+    pub(super) fn free_fast_slots(&self, demand: ModelRequirement<'_>, now: BootInstant) -> usize {
         self.engines
             .values()
             .filter(|engine| !engine.is_slow() && !engine.is_cold(now))
             .filter(|engine| engine.can_take(demand, now))
-            .map(|engine| engine.free_places(now))
+            .map(|engine| engine.free_slots(now))
             .sum()
     }
 
     /// The pace of the fastest engine, in microseconds an event.
-    pub(super) fn fastest_pace(&self) -> Option<u64> {
+    pub(super) fn min_event_interval_us(&self) -> Option<u64> {
         let engines = self.engines.values();
         engines
-            .filter_map(|engine| engine.pace.microseconds())
+            .filter_map(|engine| engine.event_interval.microseconds())
             .min()
     }
 
     /// The median of the paces of engines that take work, in microseconds an event.
-    fn median_pace(&self) -> Option<u64> {
+    fn median_event_interval_us(&self) -> Option<u64> {
         let engines = self.engines.values().filter(|engine| engine.takes_work());
         let mut paces: Vec<u64> = engines
-            .filter_map(|engine| engine.pace.microseconds())
+            .filter_map(|engine| engine.event_interval.microseconds())
             .collect();
         paces.sort_unstable();
         paces.get(paces.len().checked_sub(1)? / 2).copied()
     }
 
     /// Every place, free or not, of the engines that are kept up to date for a model.
-    pub(super) fn places_of(&self, model: &str) -> usize {
+    pub(super) fn slots_for_model(&self, model: &str) -> usize {
         let engines = self.engines.values();
         engines
             .filter(|engine| engine.is_assigned(model) && !engine.is_slow())
@@ -208,7 +214,7 @@
     }
 
     /// True if the engines that can be used have so many places, free or not.
-    pub(super) fn has_places(&self, wanted: usize, now: BootInstant) -> bool {
+    pub(super) fn has_slots(&self, wanted: usize, now: BootInstant) -> bool {
         let usable = self.engines.values().filter(|engine| engine.is_usable(now));
         let mut places = 0;
         for engine in usable {
@@ -231,9 +237,9 @@
     }
 
     /// Gives a place free that was kept for an item, if one was.
-    pub(super) fn release_place(&mut self, engine: Option<&EngineId>) {
+    pub(super) fn release_slot(&mut self, engine: Option<&EngineId>) {
         if let Some(engine) = engine.and_then(|id| self.engines.get_mut(id)) {
-            engine.release_place();
+            engine.release_slot();
         }
     }
 
@@ -254,17 +260,17 @@
 
     /// Compares the paces of engines that take work and marks those that are much slower;
     /// true if a mark has changed. The only one that is left is not slow.
-    pub(super) fn judge_paces(&mut self) -> bool {
+    pub(super) fn update_slow_engines(&mut self) -> bool {
         let working = || self.engines.values().filter(|engine| engine.takes_work());
-        let measured = working().filter(|engine| engine.pace.microseconds().is_some());
+        let measured = working().filter(|engine| engine.event_interval.microseconds().is_some());
         let is_comparable = measured.count() >= working().count().min(2);
-        let Some(median) = self.median_pace().filter(|_| is_comparable) else {
+        let Some(median) = self.median_event_interval_us().filter(|_| is_comparable) else {
             return false;
         };
         let mut has_changed = false;
         let engines = self.engines.values_mut();
         for engine in engines.filter(|engine| engine.takes_work()) {
-            has_changed |= engine.judge_pace(median);
+            has_changed |= engine.update_slow(median);
         }
         has_changed
     }
--- a/crates/sloetrail-serving/src/owner/engines/tests.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests.rs
@@ -1,14 +1,14 @@
 mod assignment;
 mod cold;
 mod orders;
-mod pace;
 mod picking;
+mod slow_engines;
 
 use super::{EnginePool, EnginePreference};
 use crate::back_end::BackEnd;
 use crate::directory::Directory;
 use crate::owner::assignment::ModelShare;
-use crate::owner::engine::Demand;
+use crate::owner::engine::ModelRequirement;
 use crate::owner::rollout_plan::ModelTarget;
 use sloetrail_types::{EngineId, ServiceName, WeightVersion, ZoneName};
 use std::collections::BTreeMap;
@@ -60,7 +60,7 @@
 
 fn pool(engines: usize) -> EnginePool {
     let mut pool = EnginePool::default();
-    pool.take_directory(&directory(engines, &[]), &ServiceName::from("models"));
+    pool.apply_directory(&directory(engines, &[]), &ServiceName::from("models"));
     pool.assign(&models());
     pool
 }
@@ -75,10 +75,10 @@
 }
 
 fn set_pace(pool: &EnginePool, id: &EngineId, milliseconds: u64) {
-    let pace = &pool.get(id).expect("known").pace;
+    let pace = &pool.get(id).expect("known").event_interval;
     pace.reset();
     for _ in 0..12 {
-        pace.note(Duration::from_millis(milliseconds));
+        pace.record(Duration::from_millis(milliseconds));
     }
 }
 
@@ -87,8 +87,8 @@
     false
 }
 
-fn any_item<'a>() -> Demand<'a> {
-    Demand {
+fn any_item<'a>() -> ModelRequirement<'a> {
+    ModelRequirement {
         model: None,
         oldest_version: WeightVersion(0),
     }
--- a/crates/sloetrail-serving/src/owner/engines/tests/assignment.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests/assignment.rs
@@ -9,7 +9,7 @@
     let mut pool = pool(9);
     assert!(fast_engines(&pool).values().all(|count| *count == 3));
     let before = MODELS.map(|model| of_model(&pool, model));
-    pool.take_directory(&directory(9, &[0]), &ServiceName::from("models"));
+    pool.apply_directory(&directory(9, &[0]), &ServiceName::from("models"));
     pool.assign(&models());
     let after = MODELS.map(|model| of_model(&pool, model));
     let kept = before
@@ -43,15 +43,15 @@
 #[test]
 fn a_new_owner_leaves_each_engine_the_model_that_it_has_kept_up() {
     let mut first = pool(9);
-    first.take_directory(&directory(9, &[0, 4]), &ServiceName::from("models"));
+    first.apply_directory(&directory(9, &[0, 4]), &ServiceName::from("models"));
     first.assign(&models());
     let kept = MODELS.map(|model| of_model(&first, model));
     let mut second = EnginePool::default();
-    second.take_directory(&directory(9, &[0, 4]), &ServiceName::from("models"));
+    second.apply_directory(&directory(9, &[0, 4]), &ServiceName::from("models"));
     for (model, ids) in MODELS.iter().zip(&kept) {
         for id in ids {
             let engine = second.get_mut(id).expect("known");
-            engine.note_version(model, WeightVersion(7), "test");
+            engine.record_version(model, WeightVersion(7), "test");
         }
     }
     second.assign(&MODELS.map(|model| share(model, 8, 1.0)));
--- a/crates/sloetrail-serving/src/owner/engines/tests/cold.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests/cold.rs
@@ -1,7 +1,7 @@
 //! Engines that are cold, or may be.
 
 use super::{FASTEST, any_item, directory, pool, set_pace, unconnected};
-use crate::owner::engine::Sparing;
+use crate::owner::engine::SendLimits;
 use crate::owner::engines::EnginePool;
 use sloetrail_balance::ColdBudget;
 use sloetrail_clock::BootInstant;
@@ -16,7 +16,7 @@
 };
 
 fn spare(pool: &mut EnginePool, cold: &[&EngineId], until: BootInstant) {
-    pool.set_sparing(|back_end| Sparing {
+    pool.set_send_limits(|back_end| SendLimits {
         evacuated: false,
         cold_until: cold.contains(&&back_end.id).then_some(until),
         budget: Some(BUDGET),
@@ -28,7 +28,7 @@
     let mut sent = 0;
     while let Some(id) = pool.pick(any_item(), BootInstant::now(), FASTEST, unconnected) {
         let engine = pool.get_mut(&id).expect("known");
-        engine.started();
+        engine.record_start();
         engine.running -= 1;
         sent += 1;
     }
@@ -43,7 +43,7 @@
     set_pace(&pool, &warm, 52);
     let now = BootInstant::now();
     spare(&mut pool, &[&cold], now + Duration::from_secs(5));
-    pool.get_mut(&warm).expect("known").started();
+    pool.get_mut(&warm).expect("known").record_start();
     assert_eq!(
         pool.pick(any_item(), now, FASTEST, unconnected),
         Some(warm.clone())
@@ -51,9 +51,9 @@
     let targets = pool.free_engines(any_item(), now);
     let targets: Vec<EngineId> = targets.into_iter().map(|engine| engine.id).collect();
     assert_eq!(targets, vec![warm.clone()]);
-    assert_eq!(pool.fast_places(any_item(), now), 7);
+    assert_eq!(pool.free_fast_slots(any_item(), now), 7);
     for _ in 0..7 {
-        pool.get_mut(&warm).expect("known").started();
+        pool.get_mut(&warm).expect("known").record_start();
     }
     assert_eq!(pool.pick(any_item(), now, FASTEST, unconnected), Some(cold));
 }
@@ -66,9 +66,9 @@
     spare(&mut pool, &[&id], until);
     assert_eq!(send_all(&mut pool), 7);
     let service = ServiceName::from("models");
-    pool.take_directory(&directory(0, &[]), &service);
+    pool.apply_directory(&directory(0, &[]), &service);
     assert_eq!(send_all(&mut pool), 0, "it is not listed");
-    pool.take_directory(&directory(1, &[]), &service);
+    pool.apply_directory(&directory(1, &[]), &service);
     spare(&mut pool, &[&id], until);
     assert_eq!(send_all(&mut pool), 0, "it had its share");
 }
--- a/crates/sloetrail-serving/src/owner/engines/tests/orders.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests/orders.rs
@@ -21,7 +21,7 @@
 fn use_version(pool: &mut EnginePool, ids: &[EngineId], version: u64) {
     for id in ids {
         let engine = pool.get_mut(id).expect("known");
-        engine.note_version("a", WeightVersion(version), "test");
+        engine.record_version("a", WeightVersion(version), "test");
     }
 }
 
@@ -130,8 +130,8 @@
     const LOOK: Duration = Duration::from_millis(100);
     let published_at = BootInstant::now() + Duration::from_secs(240);
     let mut publications = Publications::default();
-    publications.note("a", WeightVersion(1), BootInstant::now());
-    publications.note("a", WeightVersion(2), published_at);
+    publications.record("a", WeightVersion(1), BootInstant::now());
+    publications.record("a", WeightVersion(2), published_at);
     let mut pool = pool(ENGINES);
     pool.assign(&[share("a", 2, 1.0)]);
     let mut changing: Vec<(BootInstant, EngineId)> = Vec::new();
@@ -145,16 +145,16 @@
         let is_done = |(done_at, _): &(BootInstant, EngineId)| *done_at <= now;
         for (_, id) in changing.extract_if(.., |change| is_done(change)) {
             let engine = pool.get_mut(&id).expect("known");
-            engine.note_version("a", WeightVersion(2), "test");
-            engine.is_being_ordered = false;
+            engine.record_version("a", WeightVersion(2), "test");
+            engine.has_order_in_flight = false;
         }
-        let wanted = match publications.stays("a", now) {
+        let wanted = match publications.is_long_lived("a", now) {
             true => target("a", 2, 1),
             false => needs_few(2, 1),
         };
         for order in plan(&pool, &[wanted], concurrent_changes(ENGINES, 2), now) {
             let engine = pool.get_mut(&order.engine).expect("known");
-            engine.is_being_ordered = true;
+            engine.has_order_in_flight = true;
             changing.push((now + CHANGE, order.engine));
         }
         now += LOOK;
@@ -173,7 +173,7 @@
         assert_eq!(orders.len(), 4, "half of eight, at version {version}");
         for order in orders {
             let engine = pool.get_mut(&order.engine).expect("known");
-            engine.note_version("a", order.version, "test");
+            engine.record_version("a", order.version, "test");
         }
     }
 }
@@ -191,7 +191,7 @@
     let ids = of_model(&pool, "a");
     use_version(&mut pool, &ids[..10], 4);
     for id in &ids[..3] {
-        pool.get_mut(id).expect("known").lost();
+        pool.get_mut(id).expect("known").record_loss();
     }
     let orders = plan(&pool, &[needs_few(4, 4)], 300, BootInstant::now());
     assert_eq!(orders.len(), 3);
--- a/crates/sloetrail-serving/src/owner/engines/tests/picking.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests/picking.rs
@@ -2,7 +2,7 @@
 
 use super::{FASTEST, any_item, directory, pool, set_pace, unconnected};
 use crate::back_end::BackEnd;
-use crate::owner::engine::Demand;
+use crate::owner::engine::ModelRequirement;
 use crate::owner::engines::{EnginePool, EnginePreference};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::{
@@ -16,11 +16,11 @@
     let (fast, slow) = (EngineId::new("e0"), EngineId::new("e1"));
     set_pace(&pool, &fast, 40);
     set_pace(&pool, &slow, 52);
-    pool.get_mut(&fast).expect("known").started();
+    pool.get_mut(&fast).expect("known").record_start();
     let now = BootInstant::now();
     assert_eq!(pool.pick(any_item(), now, FASTEST, unconnected), Some(fast));
     assert_eq!(
-        pool.pick(any_item(), now, EnginePreference::Emptiest, unconnected),
+        pool.pick(any_item(), now, EnginePreference::LeastLoaded, unconnected),
         Some(slow)
     );
 }
@@ -31,7 +31,7 @@
     let (fast, other) = (EngineId::new("e0"), EngineId::new("e1"));
     set_pace(&pool, &fast, 40);
     set_pace(&pool, &other, 41);
-    pool.get_mut(&fast).expect("known").started();
+    pool.get_mut(&fast).expect("known").record_start();
     assert_eq!(
         pool.pick(any_item(), BootInstant::now(), FASTEST, unconnected),
         Some(other)
@@ -49,8 +49,8 @@
     }
     let connected = ids[1].clone();
     let engine = pool.get_mut(&connected).expect("known");
-    engine.started();
-    engine.finished();
+    engine.record_start();
+    engine.record_completion();
     let is_connected = |back_end: &BackEnd| back_end.id == connected;
     let pick = |preference| {
         let now = BootInstant::now();
@@ -68,10 +68,12 @@
 fn places_at_engines_that_take_no_work_are_no_places() {
     let mut pool = pool(4);
     let now = BootInstant::now();
-    assert!(pool.has_places(32, now) && !pool.has_places(33, now));
-    pool.get_mut(&EngineId::new("e2")).expect("known").lost();
-    pool.take_directory(&directory(4, &[0]), &ServiceName::from("models"));
-    assert!(pool.has_places(16, now) && !pool.has_places(17, now));
+    assert!(pool.has_slots(32, now) && !pool.has_slots(33, now));
+    pool.get_mut(&EngineId::new("e2"))
+        .expect("known")
+        .record_loss();
+    pool.apply_directory(&directory(4, &[0]), &ServiceName::from("models"));
+    assert!(pool.has_slots(16, now) && !pool.has_slots(17, now));
 }
 
 #[test]
@@ -81,20 +83,20 @@
     set_pace(&pool, &id, 40);
     let now = BootInstant::now();
     for _ in 0..7 {
-        pool.get_mut(&id).expect("known").started();
+        pool.get_mut(&id).expect("known").record_start();
     }
     assert_eq!(pool.free_engines(any_item(), now).len(), 1);
-    pool.get_mut(&id).expect("known").keep_place(now);
+    pool.get_mut(&id).expect("known").reserve_slot(now);
     assert_eq!(pool.pick(any_item(), now, FASTEST, unconnected), None);
     assert!(pool.free_engines(any_item(), now).is_empty());
-    pool.release_place(Some(&id));
+    pool.release_slot(Some(&id));
     assert_eq!(pool.pick(any_item(), now, FASTEST, unconnected), Some(id));
 }
 
 #[test]
 fn an_engine_that_is_too_old_or_changing_takes_nothing() {
     let pool = pool(3);
-    let demand = |oldest: u64| Demand {
+    let demand = |oldest: u64| ModelRequirement {
         model: Some("a"),
         oldest_version: WeightVersion(oldest),
     };
@@ -111,17 +113,17 @@
 #[test]
 fn of_engines_with_as_much_to_do_the_one_that_was_used_last_goes_first() {
     let mut pool = pool(9);
-    let demand = Demand {
+    let demand = ModelRequirement {
         model: Some("a"),
         oldest_version: WeightVersion(1),
     };
     let of_model = pool.iter().filter(|(_, engine)| engine.is_assigned("a"));
     let ids: Vec<EngineId> = of_model.map(|(id, _)| id.clone()).collect();
     let used_last = ids.last().expect("some").clone();
-    pool.get_mut(&used_last).expect("known").finished();
+    pool.get_mut(&used_last).expect("known").record_completion();
     let pick = |pool: &EnginePool| pool.pick(demand, BootInstant::now(), FASTEST, unconnected);
     assert_eq!(pick(&pool), Some(used_last.clone()));
-    pool.get_mut(&used_last).expect("known").started();
+    pool.get_mut(&used_last).expect("known").record_start();
     let other = pick(&pool).expect("an engine with nothing to do");
     assert_ne!(other, used_last, "work is spread all the same");
 }
@@ -137,11 +139,11 @@
     let topology = Topology::new(ZoneName::from("z"), regions.into());
     let north = AllowedRegions::only([RegionName::from("north")]);
     let service = ServiceName::from("models");
-    let mut bound = EnginePool::within(topology.clone(), north);
-    bound.take_directory(&directory, &service);
+    let mut bound = EnginePool::within_regions(topology.clone(), north);
+    bound.apply_directory(&directory, &service);
     assert_eq!(bound.len(), 2);
     assert!(bound.get(&elsewhere).is_none());
-    let mut unbound = EnginePool::within(topology, AllowedRegions::everywhere());
-    unbound.take_directory(&directory, &service);
+    let mut unbound = EnginePool::within_regions(topology, AllowedRegions::everywhere());
+    unbound.apply_directory(&directory, &service);
     assert_eq!(unbound.len(), 3);
 }
--- a/crates/sloetrail-serving/src/owner/engines/tests/pace.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests/slow_engines.rs
@@ -1,7 +1,7 @@
 //! Engines that are slower than the others.
 
 use super::{FASTEST, MODELS, fast_engines, models, of_model, pool, set_pace, target, unconnected};
-use crate::owner::engine::{Demand, Sparing};
+use crate::owner::engine::{ModelRequirement, SendLimits};
 use crate::owner::engines::EnginePool;
 use crate::owner::rollout_plan::plan;
 use sloetrail_clock::BootInstant;
@@ -13,12 +13,12 @@
     let pool = pool(1);
     let id = EngineId::new("e0");
     set_pace(&pool, &id, 40);
-    let pace = &pool.get(&id).expect("known").pace;
+    let pace = &pool.get(&id).expect("known").event_interval;
     for _ in 0..12 {
-        pace.note(Duration::from_millis(900));
+        pace.record(Duration::from_millis(900));
     }
     assert_eq!(pace.microseconds(), Some(40_000));
-    pace.note(Duration::from_millis(200));
+    pace.record(Duration::from_millis(200));
     assert!(pace.microseconds() > Some(60_000), "a slow engine is seen");
 }
 
@@ -28,7 +28,7 @@
         let milliseconds = if slow.contains(id) { 130 } else { 33 };
         set_pace(pool, id, milliseconds);
     }
-    assert!(pool.judge_paces());
+    assert!(pool.update_slow_engines());
     pool.assign(&models());
 }
 
@@ -50,12 +50,12 @@
     let targets = MODELS.map(|model| target(model, 2, 1));
     let orders = plan(&pool, &targets, 9, now);
     assert!(orders.iter().all(|order| !slow.contains(&order.engine)));
-    let demand = Demand {
+    let demand = ModelRequirement {
         model: Some("a"),
         oldest_version: WeightVersion(1),
     };
     let engine = pool.get_mut(&slow[0]).expect("known");
-    engine.started();
+    engine.record_start();
     let picked = pool.pick(demand, now, FASTEST, unconnected);
     assert!(picked.is_some_and(|id| !slow.contains(&id)));
 }
@@ -68,13 +68,13 @@
     let (spared, left) = (EngineId::new("e0"), EngineId::new("e1"));
     set_pace(&pool, &spared, 10);
     set_pace(&pool, &left, 50);
-    assert!(pool.judge_paces());
+    assert!(pool.update_slow_engines());
     assert!(pool.get(&left).expect("known").is_slow());
-    pool.set_sparing(|back_end| Sparing {
+    pool.set_send_limits(|back_end| SendLimits {
         evacuated: back_end.id == spared,
-        ..Sparing::default()
+        ..SendLimits::default()
     });
-    assert!(pool.judge_paces());
+    assert!(pool.update_slow_engines());
     assert!(!pool.get(&left).expect("known").is_slow());
-    assert!(!pool.judge_paces());
+    assert!(!pool.update_slow_engines());
 }
--- a/crates/sloetrail-serving/src/owner/pace.rs
+++ b/crates/sloetrail-serving/src/owner/event_interval.rs
@@ -14,14 +14,14 @@
 
 /// A smoothed time between two events of one run, shared by the runs on an engine.
 #[derive(Debug, Default)]
-pub(super) struct PaceMeter {
+pub(super) struct EventIntervalMeter {
     microseconds: AtomicU64,
     measurements: AtomicU64,
 }
 
-impl PaceMeter {
+impl EventIntervalMeter {
     /// Takes in the time between two events.
-    pub(super) fn note(&self, gap: Duration) {
+    pub(super) fn record(&self, gap: Duration) {
         let gap = gap.as_micros() as u64;
         let known = self.microseconds.load(Ordering::Relaxed);
         if self.microseconds().is_some() && gap > known.saturating_mul(STALL_FACTOR) {
--- a/crates/sloetrail-serving/src/owner/mod.rs
+++ b/crates/sloetrail-serving/src/owner/mod.rs
@@ -5,19 +5,20 @@
 //! [`service_owner::ServiceOwner`]: it loads the open batches from the table, sends items
 //! to engines ([`run`]), has whole texts scored ([`reward_queue`], [`reward`]), commits results in groups
 //! ([`committer`]) and brings the engines to the published versions ([`rollout_plan`],
-//! [`weights`]). Only the owner of the batches that may be anywhere gives orders to engines; the
+//! [`order_task`]). Only the owner of the batches that may be anywhere gives orders to engines; the
 //! others tell it what their batches take ([`place_demand`]).
 
 mod assignment;
-mod batch_turns;
+mod batch_scheduler;
 mod committer;
 mod engine;
 mod engine_sends;
 mod engines;
 mod event;
+mod event_interval;
 mod item_story;
 mod loading;
-mod pace;
+mod order_task;
 mod place_demand;
 mod place_usage;
 mod publications;
@@ -27,7 +28,6 @@
 mod run;
 mod service_owner;
 mod sweeper;
-mod weights;
 
 use self::service_owner::ServiceOwner;
 use crate::context::NodeContext;
--- a/crates/sloetrail-serving/src/owner/publications.rs
+++ b/crates/sloetrail-serving/src/owner/publications.rs
@@ -33,7 +33,7 @@
 
 impl Publications {
     /// Takes in the newest version of a model.
-    pub(super) fn note(&mut self, model: &str, version: WeightVersion, now: BootInstant) {
+    pub(super) fn record(&mut self, model: &str, version: WeightVersion, now: BootInstant) {
         let known = self.models.get(model).copied();
         if known.is_some_and(|known| known.version == version) {
             return;
@@ -47,7 +47,7 @@
     }
 
     /// True if the newest version of a model is there to stay.
-    pub(super) fn stays(&self, model: &str, now: BootInstant) -> bool {
+    pub(super) fn is_long_lived(&self, model: &str, now: BootInstant) -> bool {
         self.models.get(model).is_some_and(|publication| {
             let after = match publication.last_interval {
                 None => STAYS_AFTER_UNKNOWN,
--- a/crates/sloetrail-serving/src/owner/publications/tests.rs
+++ b/crates/sloetrail-serving/src/owner/publications/tests.rs
@@ -11,22 +11,25 @@
 fn a_first_version_stays_once_it_has_lasted() {
     let began = BootInstant::now();
     let mut publications = Publications::default();
-    assert!(!publications.stays("a", began), "nothing is published");
-    publications.note("a", WeightVersion(2), began);
-    assert!(!publications.stays("a", began + seconds(4)));
-    assert!(publications.stays("a", began + seconds(5)));
+    assert!(
+        !publications.is_long_lived("a", began),
+        "nothing is published"
+    );
+    publications.record("a", WeightVersion(2), began);
+    assert!(!publications.is_long_lived("a", began + seconds(4)));
+    assert!(publications.is_long_lived("a", began + seconds(5)));
 }
 
 #[test]
 fn a_version_after_one_that_lasted_long_stays_from_the_beginning() {
     let began = BootInstant::now();
     let mut publications = Publications::default();
-    publications.note("a", WeightVersion(2), began);
-    publications.note("a", WeightVersion(3), began + seconds(240));
-    assert!(publications.stays("a", began + seconds(240)));
-    publications.note("a", WeightVersion(4), began + seconds(244));
+    publications.record("a", WeightVersion(2), began);
+    publications.record("a", WeightVersion(3), began + seconds(240));
+    assert!(publications.is_long_lived("a", began + seconds(240)));
+    publications.record("a", WeightVersion(4), began + seconds(244));
     assert!(
-        !publications.stays("a", began + seconds(249)),
+        !publications.is_long_lived("a", began + seconds(249)),
         "they follow one another now"
     );
 }
@@ -37,10 +40,10 @@
     let mut publications = Publications::default();
     for version in 0..5 {
         let at = began + seconds(version * 4);
-        publications.note("a", WeightVersion(version + 2), at);
-        publications.note("a", WeightVersion(version + 2), at + seconds(1));
+        publications.record("a", WeightVersion(version + 2), at);
+        publications.record("a", WeightVersion(version + 2), at + seconds(1));
     }
     let last = began + seconds(16);
-    assert!(!publications.stays("a", last + seconds(14)));
-    assert!(publications.stays("a", last + seconds(15)));
+    assert!(!publications.is_long_lived("a", last + seconds(14)));
+    assert!(publications.is_long_lived("a", last + seconds(15)));
 }
--- a/crates/sloetrail-serving/src/owner/rollout_plan.rs
+++ b/crates/sloetrail-serving/src/owner/rollout_plan.rs
@@ -71,7 +71,7 @@
 }
 
 fn is_changing(engine: &Engine) -> bool {
-    engine.change.is_some() || engine.is_being_ordered
+    engine.change.is_some() || engine.has_order_in_flight
 }
 
 /// A share of a number of engines, rounded up.
--- a/crates/sloetrail-serving/src/owner/run.rs
+++ b/crates/sloetrail-serving/src/owner/run.rs
@@ -1,7 +1,7 @@
 //! One run of an item at an engine.
 
 use super::engine_sends::EngineSends;
-use super::pace::PaceMeter;
+use super::event_interval::EventIntervalMeter;
 use crate::back_end::BackEnd;
 use crate::context::NodeContext;
 use crate::ended_lives::has_ended;
@@ -44,9 +44,9 @@
     pub(super) priority: u8,
     /// What the owner has sent the engine, and how much of it may be sent again.
     pub(super) sends: Arc<EngineSends>,
-    pub(super) repeat_bound: Option<SendBound>,
-    pub(super) passage: Passage,
-    pub(super) pace: Arc<PaceMeter>,
+    pub(super) resend_bound: Option<SendBound>,
+    pub(super) quarantine_permit: Passage,
+    pub(super) event_interval: Arc<EventIntervalMeter>,
     pub(super) progress: Arc<RunProgress>,
     pub(super) cancel: CancellationToken,
 }
@@ -104,7 +104,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RunOutcome {
     /// The text is whole.
-    Whole,
+    Completed,
     /// The engine answered that the run failed.
     Failed,
     /// The engine answered that the item can never be done.
@@ -118,30 +118,30 @@
     /// The answer broke off or was none.
     Lost,
     /// The engine fell silent.
-    Silent,
+    Unresponsive,
     /// The engine's weights are too old, or not the only ones allowed.
     WrongVersion,
     /// Nothing was sent: the engine takes no work any more, or whether it does is not known
     /// since the process stood still.
-    HeldBack,
+    Withheld,
     /// The owner gave it up.
     Cancelled,
 }
 
 impl RunOutcome {
     /// A word for logs.
-    pub(super) fn word(self) -> &'static str {
+    pub(super) fn as_str(self) -> &'static str {
         match self {
-            RunOutcome::Whole => "whole",
+            RunOutcome::Completed => "whole",
             RunOutcome::Failed => "failed",
             RunOutcome::Impossible => "impossible",
             RunOutcome::NotRun => "not run",
             RunOutcome::WrongInstance => "wrong instance",
             RunOutcome::NotSent => "not sent",
             RunOutcome::Lost => "lost",
-            RunOutcome::Silent => "silent",
+            RunOutcome::Unresponsive => "silent",
             RunOutcome::WrongVersion => "wrong version",
-            RunOutcome::HeldBack => "held back",
+            RunOutcome::Withheld => "held back",
             RunOutcome::Cancelled => "cancelled",
         }
     }
@@ -171,7 +171,7 @@
 impl Run {
     /// Runs the item; a run that is lost may have ended its engine.
     async fn run_watched(&mut self) -> RunOutcome {
-        let watch = self.spec.passage.watch_run(&self.spec.back_end);
+        let watch = self.spec.quarantine_permit.watch_run(&self.spec.back_end);
         let context = Arc::clone(&self.spec.context);
         let life = self.spec.back_end.id.clone();
         let outcome = tokio::select! {
@@ -180,12 +180,14 @@
             () = has_ended(context.ended_lives.clone(), &life) => RunOutcome::Lost,
         };
         match outcome {
-            RunOutcome::Whole | RunOutcome::Failed | RunOutcome::Impossible => watch.answered(),
+            RunOutcome::Completed | RunOutcome::Failed | RunOutcome::Impossible => watch.answered(),
             RunOutcome::Lost => watch.lost(),
             RunOutcome::NotSent => watch.not_reached(),
             // It may still run: as if it had been left.
-            RunOutcome::Silent | RunOutcome::WrongVersion | RunOutcome::Cancelled => drop(watch),
-            RunOutcome::NotRun | RunOutcome::WrongInstance | RunOutcome::HeldBack => {
+            RunOutcome::Unresponsive | RunOutcome::WrongVersion | RunOutcome::Cancelled => {
+                drop(watch)
+            }
+            RunOutcome::NotRun | RunOutcome::WrongInstance | RunOutcome::Withheld => {
                 watch.not_lost();
             }
         }
@@ -235,10 +237,10 @@
     fn may_send_again(&self) -> bool {
         let RunSpec {
             sends,
-            repeat_bound,
+            resend_bound,
             ..
         } = &self.spec;
-        sends.note_within(BootInstant::now(), *repeat_bound)
+        sends.try_record(BootInstant::now(), *resend_bound)
     }
 
     async fn send(
@@ -253,7 +255,7 @@
         let request = build_request(outgoing, &spec.back_end, names, deadline)
             .ok_or(RunOutcome::Impossible)?;
         let connections = &spec.context.connections;
-        let passage = Some(&spec.passage);
+        let passage = Some(&spec.quarantine_permit);
         let sending = connections.send(&spec.back_end, request, passage, reuse, due);
         Ok(sending.await)
     }
@@ -309,13 +311,13 @@
             let piece = match sloetrail_clock::timeout_at(due, body.next_piece()).await {
                 Ok(Ok(piece)) => piece,
                 Ok(Err(_)) => return RunOutcome::Lost,
-                Err(_) => return RunOutcome::Silent,
+                Err(_) => return RunOutcome::Unresponsive,
             };
             let Some(piece) = piece else {
                 let is_empty = self.spec.progress.state().transcript.is_empty();
                 return match parser.is_within_event() || is_empty {
                     true => RunOutcome::Lost,
-                    false => RunOutcome::Whole,
+                    false => RunOutcome::Completed,
                 };
             };
             let Ok(events) = parser.push(&piece) else {
@@ -344,7 +346,9 @@
         }
         let now = BootInstant::now();
         if let Some(previous) = self.last_event_at.replace(now) {
-            self.spec.pace.note(now.saturating_duration_since(previous));
+            self.spec
+                .event_interval
+                .record(now.saturating_duration_since(previous));
         }
         None
     }
@@ -357,14 +361,14 @@
             number,
             data,
             version,
-            engine: self.told_engine(),
+            engine: self.reported_engine(),
         };
         state.transcript.push(event).is_ok()
     }
 
     /// The engine under its own name, if readers are told which one made what: they know it by
     /// that, whatever life of it made the event.
-    fn told_engine(&self) -> Option<EngineId> {
+    fn reported_engine(&self) -> Option<EngineId> {
         let tells_segments = self.spec.context.dialect.tells_segments();
         tells_segments.then(|| EngineId::new(&self.spec.back_end.instance))
     }
@@ -384,8 +388,8 @@
         AttemptResult::NotRun => RunOutcome::NotRun,
         AttemptResult::WrongInstance => RunOutcome::WrongInstance,
         AttemptResult::NotSent => RunOutcome::NotSent,
-        AttemptResult::HeldBack => RunOutcome::HeldBack,
-        AttemptResult::OutOfTime => RunOutcome::Silent,
+        AttemptResult::HeldBack => RunOutcome::Withheld,
+        AttemptResult::OutOfTime => RunOutcome::Unresponsive,
         AttemptResult::RanAndFailed(_) => RunOutcome::Failed,
         AttemptResult::Answered(_) | AttemptResult::Lost | AttemptResult::TooLarge => {
             RunOutcome::Lost
--- a/crates/sloetrail-serving/src/owner/service_owner.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner.rs
@@ -16,7 +16,7 @@
 use self::other_batches::OtherBatches;
 use self::supply::SupplyState;
 use super::committer::{CommitRequest, commit_results};
-use super::engine::Sparing;
+use super::engine::SendLimits;
 use super::engines::EnginePool;
 use super::event::OwnerEvent;
 use super::item_story::ItemStory;
@@ -174,7 +174,10 @@
         Self {
             committing: tokio::spawn(committing),
             kept_at: BootInstant::now(),
-            engines: EnginePool::within(context.settings.topology.clone(), set.regions().clone()),
+            engines: EnginePool::within_regions(
+                context.settings.topology.clone(),
+                set.regions().clone(),
+            ),
             context,
             service: set.service().clone(),
             set,
@@ -223,7 +226,7 @@
                         self.take(event);
                     }
                 }
-                Ok(()) = directory.changed() => self.take_directory(),
+                Ok(()) = directory.changed() => self.apply_directory(),
                 Ok(()) = in_force.changed() => {
                     in_force.mark_unchanged();
                     self.spare_engines();
@@ -283,9 +286,9 @@
         )
     }
 
-    fn take_directory(&mut self) {
+    fn apply_directory(&mut self) {
         let directory = self.context.directory.borrow().clone();
-        self.engines.take_directory(&directory, &self.service);
+        self.engines.apply_directory(&directory, &self.service);
         self.spare_engines();
         self.assign_models();
     }
@@ -306,7 +309,7 @@
             let region = settings.topology.region_of(zone);
             budgets.as_ref().map(|budgets| budgets.of_region(region))
         };
-        self.engines.set_sparing(|back_end| Sparing {
+        self.engines.set_send_limits(|back_end| SendLimits {
             evacuated: evacuations.covers(&back_end.zone),
             cold_until: directory.cold_until(back_end, evacuations, lasts),
             budget: budget(&back_end.zone),
@@ -364,7 +367,7 @@
         self.order_items();
         self.look_ahead();
         let slow_apart = self.context.settings.policies.slow_engines_apart;
-        if slow_apart && self.engines.judge_paces() {
+        if slow_apart && self.engines.update_slow_engines() {
             self.assign_models();
         }
         self.move_from_slow_engines(now);
@@ -398,11 +401,11 @@
                 items.at_a_time += of_batch.at_a_time;
             }
             at_a_time += items.at_a_time;
-            let places = self.engines.places_of(&model);
+            let places = self.engines.slots_for_model(&model);
             self.usage.note(&model, items, places);
         }
         let enough = at_a_time * PLACES_FOR_ITEM;
-        if !self.engines.has_places(enough, BootInstant::now()) {
+        if !self.engines.has_slots(enough, BootInstant::now()) {
             self.context.directory_interest.want_more();
         }
     }
@@ -420,7 +423,9 @@
         }
         let engines = &self.engines;
         let is_plentiful = |(model, items): (&Option<String>, &usize)| {
-            let places = model.as_deref().map_or(0, |model| engines.places_of(model));
+            let places = model
+                .as_deref()
+                .map_or(0, |model| engines.slots_for_model(model));
             (model.clone(), items * PLENTIFUL_FACTOR <= places)
         };
         let plentiful: BTreeMap<Option<String>, bool> = items.iter().map(is_plentiful).collect();
--- a/crates/sloetrail-serving/src/owner/service_owner/batches.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/batches.rs
@@ -109,7 +109,7 @@
         self.note_batch(&batch);
         let kept = kept_in_table(&batch);
         self.reuse_carried(&mut batch);
-        let opened = CommitRequest::Open {
+        let opened = CommitRequest::OpenBatch {
             batch: id.clone(),
             next_position: listed,
         };
--- a/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
@@ -3,8 +3,8 @@
 use super::{ActiveRun, OpenBatch, ServiceOwner};
 use crate::back_end::BackEnd;
 use crate::events::{self, Event};
-use crate::owner::batch_turns::BatchTurns;
-use crate::owner::engine::Demand;
+use crate::owner::batch_scheduler::BatchScheduler;
+use crate::owner::engine::ModelRequirement;
 use crate::owner::engines::EnginePreference;
 use crate::owner::event::OwnerEvent;
 use crate::owner::run::{RunProgress, RunSpec, run_item};
@@ -35,7 +35,7 @@
         for wanted in [true, false] {
             let open = self.batches.iter();
             let headers = open.map(|(id, open)| (id, &open.batch.header));
-            let turns = BatchTurns::new(&mut shares, headers);
+            let turns = BatchScheduler::new(&mut shares, headers);
             turns.run(|id| self.start_next(id, wanted));
         }
         if self.batches.is_empty() {
@@ -67,7 +67,7 @@
         if next.is_none_or(|index| open.batch.is_wanted(index) != wanted) {
             return false;
         }
-        let demand = Demand {
+        let demand = ModelRequirement {
             model: open.batch.model.as_deref(),
             oldest_version: open.batch.oldest_version,
         };
@@ -88,7 +88,7 @@
         let item = index.map(|index| open.batch.item(index));
         let is_deciding = item.is_some_and(|item| open.outlook.is_deciding(item, &self.lengths));
         match policies.prefer_fast_engines {
-            false => EnginePreference::Emptiest,
+            false => EnginePreference::LeastLoaded,
             true if is_deciding || !policies.bounded_batch_width => EnginePreference::Fastest,
             true => EnginePreference::Connected,
         }
@@ -102,7 +102,7 @@
         engine_id: EngineId,
         priority: u8,
     ) -> bool {
-        let Some(passage) = self.passage(id, index) else {
+        let Some(quarantine_permit) = self.passage(id, index) else {
             return false;
         };
         let Some(open) = self.batches.get_mut(id) else {
@@ -114,7 +114,7 @@
         if !open.batch.start(index) {
             return false;
         }
-        engine.started();
+        engine.record_start();
         let item = open.batch.item(index);
         let run = ActiveRun {
             engine: engine_id.clone(),
@@ -135,9 +135,9 @@
             single_version: open.batch.header.single_version,
             priority,
             sends: engine.sends(),
-            repeat_bound: engine.repeat_bound(),
-            passage,
-            pace: Arc::clone(&engine.pace),
+            resend_bound: engine.resend_bound(),
+            quarantine_permit,
+            event_interval: Arc::clone(&engine.event_interval),
             progress: Arc::clone(&run.progress),
             cancel: run.cancel.clone(),
         };
--- a/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
@@ -8,8 +8,8 @@
 
 use super::{ActiveRun, ServiceOwner};
 use crate::events::{self, Event};
-use crate::owner::engine::Demand;
-use crate::owner::engines::{EnginePool, FreeEngine, PACE_STEP};
+use crate::owner::engine::ModelRequirement;
+use crate::owner::engines::{EnginePool, FreeEngine, SIMILAR_INTERVAL_FACTOR};
 use sloetrail_batch::{Batch, BatchId, ItemIndex, LengthModel};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::EngineId;
@@ -44,8 +44,8 @@
 
     /// The time that going on at an engine saves, if it is clearly faster.
     fn gain_at(&self, engine: &FreeEngine) -> Option<Duration> {
-        let is_clear = self.pace as f64 > engine.pace as f64 * PACE_STEP;
-        let saved = self.pace.saturating_sub(engine.pace) as f64 * self.remaining;
+        let is_clear = self.pace as f64 > engine.event_interval_us as f64 * SIMILAR_INTERVAL_FACTOR;
+        let saved = self.pace.saturating_sub(engine.event_interval_us) as f64 * self.remaining;
         is_clear.then(|| Duration::from_micros(saved as u64))
     }
 }
@@ -55,14 +55,14 @@
     /// from the text that is kept.
     pub(super) fn move_from_slow_engines(&mut self, now: BootInstant) {
         for open in self.batches.values() {
-            let demand = Demand {
+            let demand = ModelRequirement {
                 model: open.batch.model.as_deref(),
                 oldest_version: open.batch.oldest_version,
             };
             if open.batch.waiting() > 0 {
                 continue;
             }
-            let mut places = self.engines.fast_places(demand, now);
+            let mut places = self.engines.free_fast_slots(demand, now);
             for run in open.runs.values() {
                 let engine = self.engines.get(&run.engine);
                 let is_slow = engine.is_some_and(|engine| engine.is_slow());
@@ -81,7 +81,7 @@
             return;
         }
         for (id, open) in &mut self.batches {
-            let demand = Demand {
+            let demand = ModelRequirement {
                 model: open.batch.model.as_deref(),
                 oldest_version: open.batch.oldest_version,
             };
@@ -116,7 +116,7 @@
                 run.moves_to = Some(engine.id.clone());
                 run.cancel.cancel();
                 if let Some(engine) = self.engines.get_mut(&engine.id) {
-                    engine.keep_place(now);
+                    engine.reserve_slot(now);
                 }
                 target = free.next();
             }
@@ -125,11 +125,11 @@
 
     /// Goes on with an item whose run was closed so that it can move.
     pub(super) fn go_on_at(&mut self, id: &BatchId, index: ItemIndex, engine: EngineId) {
-        self.engines.release_place(Some(&engine));
+        self.engines.release_slot(Some(&engine));
         let Some(open) = self.batches.get(id) else {
             return;
         };
-        let demand = Demand {
+        let demand = ModelRequirement {
             model: open.batch.model.as_deref(),
             oldest_version: open.batch.oldest_version,
         };
@@ -175,7 +175,7 @@
     if is_young || run.cancel.is_cancelled() {
         return None;
     }
-    let pace = engines.get(&run.engine)?.pace.microseconds()?;
+    let pace = engines.get(&run.engine)?.event_interval.microseconds()?;
     let made = run.progress.events();
     let hinted = batch.item(index).expected_length;
     let remaining = lengths.remaining_events(hinted, made)?;
--- a/crates/sloetrail-serving/src/owner/service_owner/results.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/results.rs
@@ -22,7 +22,7 @@
         (outcome, transcript): (RunOutcome, Transcript),
         took: Duration,
     ) {
-        telemetry::run_ended(self.service.as_str(), outcome.word(), took);
+        telemetry::run_ended(self.service.as_str(), outcome.as_str(), took);
         self.judge_engine(engine, outcome);
         let Some(open) = self.batches.get_mut(id) else {
             return;
@@ -38,10 +38,10 @@
             open.kept.insert(index, run.kept);
             moves_to = run.moves_to;
         }
-        if outcome == RunOutcome::Whole {
+        if outcome == RunOutcome::Completed {
             let hinted = open.batch.item(index).expected_length;
             self.lengths.note(hinted, transcript.len());
-            self.engines.release_place(moves_to.as_ref());
+            self.engines.release_slot(moves_to.as_ref());
             story.text_is_whole(BootInstant::now());
             open.batch.text_is_whole(index, transcript);
             self.begin_reward(id, index);
@@ -51,7 +51,7 @@
             item: &open.batch.item(index).submitted.id,
             batch: id,
             back_end: engine.as_str(),
-            outcome: outcome.word(),
+            outcome: outcome.as_str(),
             events: transcript.len(),
             took_ms: took.as_millis() as u64,
         });
@@ -69,7 +69,7 @@
             open.kept.remove(&index);
         }
         if failure == RunFailure::Failed && death.is_none() {
-            let request = CommitRequest::Failed {
+            let request = CommitRequest::RecordFailedRuns {
                 batch: id.clone(),
                 index,
                 failed_runs: open.batch.failed_runs(index),
@@ -79,7 +79,7 @@
         }
         match (death, moves_to) {
             (Some(cause), moves_to) => {
-                self.engines.release_place(moves_to.as_ref());
+                self.engines.release_slot(moves_to.as_ref());
                 self.give_up(id, index, cause);
             }
             (None, Some(engine)) => self.go_on_at(id, index, engine),
@@ -93,13 +93,15 @@
         };
         engine.running = engine.running.saturating_sub(1);
         match outcome {
-            RunOutcome::NotRun | RunOutcome::WrongVersion => engine.refused(),
+            RunOutcome::NotRun | RunOutcome::WrongVersion => engine.record_refusal(),
             RunOutcome::WrongInstance
             | RunOutcome::NotSent
             | RunOutcome::Lost
-            | RunOutcome::Silent => engine.lost(),
-            RunOutcome::Whole | RunOutcome::Failed | RunOutcome::Impossible => engine.finished(),
-            RunOutcome::HeldBack | RunOutcome::Cancelled => {}
+            | RunOutcome::Unresponsive => engine.record_loss(),
+            RunOutcome::Completed | RunOutcome::Failed | RunOutcome::Impossible => {
+                engine.record_completion()
+            }
+            RunOutcome::Withheld | RunOutcome::Cancelled => {}
         }
     }
 
@@ -131,7 +133,7 @@
     }
 
     fn list(&self, id: &BatchId, index: ItemIndex, result: ListedResult) {
-        let request = CommitRequest::List {
+        let request = CommitRequest::ListResult {
             batch: id.clone(),
             index,
             result,
@@ -180,7 +182,7 @@
         let groups = open.batch.groups();
         let story = open.stories.get(&last).cloned().unwrap_or_default();
         let times = story.times(open.opened_at, now);
-        let pace = self.engines.fastest_pace().unwrap_or_default();
+        let pace = self.engines.min_event_interval_us().unwrap_or_default();
         let least = Duration::from_micros(pace.saturating_mul(groups.longest() as u64));
         let age = open.opened_age + now.saturating_duration_since(open.opened_at);
         events::emit(&Event::StepWhole {
--- a/crates/sloetrail-serving/src/owner/service_owner/texts.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/texts.rs
@@ -23,7 +23,7 @@
                     events,
                 };
                 run.kept += checkpoint.events.len();
-                let request = CommitRequest::Keep {
+                let request = CommitRequest::SaveCheckpoint {
                     batch: id.clone(),
                     checkpoint,
                 };
--- a/crates/sloetrail-serving/src/owner/service_owner/versions.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/versions.rs
@@ -4,10 +4,10 @@
 use crate::back_end::{OrderAnswer, VersionChange};
 use crate::leases::OrderWindow;
 use crate::owner::assignment::ModelShare;
-use crate::owner::engine::VersionChangeUnderWay;
+use crate::owner::engine::VersionChangeInFlight;
 use crate::owner::event::{OrderEnd, OwnerEvent};
+use crate::owner::order_task::OrderTask;
 use crate::owner::rollout_plan::{ModelTarget, concurrent_changes, plan};
-use crate::owner::weights::OrderTask;
 use sloetrail_batch::{Batch, BatchHeader};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::WeightVersion;
@@ -35,7 +35,7 @@
                     && let Some(engine) = self.engines.get_mut(&run.engine)
                     && engine.version(model) < version
                 {
-                    engine.note_version(model, version, "answer");
+                    engine.record_version(model, version, "answer");
                 }
             }
         }
@@ -62,7 +62,7 @@
             let Some(engine) = self.engines.get_mut(&order.engine) else {
                 continue;
             };
-            engine.is_being_ordered = true;
+            engine.has_order_in_flight = true;
             let task = OrderTask {
                 context: Arc::clone(&self.context),
                 term: self.term.clone(),
@@ -111,8 +111,8 @@
 
     fn model_target(&mut self, model: String, published: WeightVersion) -> ModelTarget {
         let now = BootInstant::now();
-        self.publications.note(&model, published, now);
-        let (ready_share, newest_share) = match self.publications.stays(&model, now) {
+        self.publications.record(&model, published, now);
+        let (ready_share, newest_share) = match self.publications.is_long_lived(&model, now) {
             true => (1.0, 1.0),
             false => (
                 self.usage.ready_share(&model),
@@ -216,25 +216,25 @@
         let Some(engine) = self.engines.get_mut(&end.order.engine) else {
             return;
         };
-        engine.is_being_ordered = false;
+        engine.has_order_in_flight = false;
         let model = &end.order.model;
         let is_busy = end.status.as_ref().is_some_and(|status| status.busy);
         if let Some(status) = &end.status
             && let Some(version) = status.versions.get(model)
             && !is_busy
         {
-            engine.note_version(model, *version, "status");
+            engine.record_version(model, *version, "status");
         }
         match end.answer {
             Some(OrderAnswer::Accepted) => {
-                engine.change = Some(VersionChangeUnderWay {
+                engine.change = Some(VersionChangeInFlight {
                     model: model.clone(),
                     version: end.order.version,
                     accepted_at: now,
                 });
             }
             Some(OrderAnswer::AlreadyInForce) => {
-                engine.note_version(model, end.order.version, "order");
+                engine.record_version(model, end.order.version, "order");
             }
             Some(OrderAnswer::Fenced) => self.term.ended.cancel(),
             Some(OrderAnswer::Conflict | OrderAnswer::Refused) => {
