--- a/crates/sloetrail-serving/src/owner/assignment.rs
+++ b/crates/sloetrail-serving/src/owner/assignment.rs
@@ -1,27 +1,26 @@
-//! Which engine is kept up to date for which model.
+//! Assigns each engine the model whose versions it is kept up to date with.
 //!
-//! Models share the engines by the work of their batches. Slow engines do not count. An
-//! engine without a model gets the one whose weights it has kept up best, so that a new
-//! owner goes on with what the one before left; then as few as possible are moved.
+//! Engines are shared among models in proportion to the work of their batches. Slow engines
+//! are not counted. An unassigned engine gets the model whose newest version it is closest to,
+//! so that a new owner keeps the assignments of its predecessor. Then as few engines as
+//! possible are reassigned.
 
 use super::engine::Engine;
 use sloetrail_types::{EngineId, WeightVersion};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// A model, with what its share of the engines depends on.
+/// A model and what its share of the engines depends on.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ModelShare {
-    /// The model.
     pub(super) model: String,
-    /// The newest version; zero if none was published.
+    /// The newest version; zero if none is published.
     pub(super) published: WeightVersion,
-    /// The work of its batches, in any unit that the models have in common. More than
-    /// zero.
+    /// Work of the model's batches, greater than zero, in a unit common to all models.
     pub(super) work: f64,
 }
 
-/// Gives each engine that takes work one of the models.
+/// Assigns a model to each engine that takes work.
 pub(super) fn assign_models(engines: &mut BTreeMap<EngineId, Engine>, shares: &[ModelShare]) {
     let mut counts = vec![0; shares.len()];
     for engine in engines.values_mut() {
@@ -38,18 +37,18 @@
         .values_mut()
         .filter(|engine| engine.assigned.is_none() && engine.takes_work());
     for engine in unassigned {
-        let Some(best) = best_kept(engine, shares, &counts) else {
+        let Some(best) = closest_model(engine, shares, &counts) else {
             return;
         };
         engine.assigned = Some(shares[best].model.clone());
         counts[best] += usize::from(!engine.is_slow());
     }
-    even_out(engines, shares, &mut counts);
+    rebalance(engines, shares, &mut counts);
 }
 
-/// The model whose newest version lies least ahead of the engine's; of several the one
-/// with the fewest engines for its work.
-fn best_kept(engine: &Engine, shares: &[ModelShare], counts: &[usize]) -> Option<usize> {
+/// Index of the model whose newest version is the fewest versions ahead of the engine's. Ties
+/// go to the model with the fewest engines for its work.
+fn closest_model(engine: &Engine, shares: &[ModelShare], counts: &[usize]) -> Option<usize> {
     let lag = |model: usize| {
         let share = &shares[model];
         share
@@ -59,12 +58,12 @@
     };
     (0..shares.len()).min_by(|left, right| {
         let by_lag = lag(*left).cmp(&lag(*right));
-        by_lag.then_with(|| by_engines_for_work(shares, counts, *left, *right))
+        by_lag.then_with(|| compare_engines_for_work(shares, counts, *left, *right))
     })
 }
 
-/// Compares what two models would have for their work with one engine more.
-fn by_engines_for_work(
+/// Compares the engines per unit of work that two models would have with one more engine each.
+fn compare_engines_for_work(
     shares: &[ModelShare],
     counts: &[usize],
     left: usize,
@@ -74,32 +73,42 @@
     with_one_more(left).total_cmp(&with_one_more(right))
 }
 
-/// Moves engines with least to do to the model that has fewest for its work, as long
-/// as the model that loses one still has no fewer for its own.
-fn even_out(engines: &mut BTreeMap<EngineId, Engine>, shares: &[ModelShare], counts: &mut [usize]) {
+/// Reassigns the least loaded engines from the model with the most engines for its work to the
+/// model with the fewest, as long as the former does not end up with fewer than the latter.
+fn rebalance(
+    engines: &mut BTreeMap<EngineId, Engine>,
+    shares: &[ModelShare],
+    counts: &mut [usize],
+) {
     let models = || 0..shares.len();
-    while let Some(least) = models().min_by(|l, r| by_engines_for_work(shares, counts, *l, *r)) {
-        let for_work = |model: usize, engines: usize| engines as f64 / shares[model].work;
-        let most = models().max_by(|l, r| {
-            let (left, right) = (for_work(*l, counts[*l]), for_work(*r, counts[*r]));
+    while let Some(lowest) =
+        models().min_by(|l, r| compare_engines_for_work(shares, counts, *l, *r))
+    {
+        let engines_per_work = |model: usize, engines: usize| engines as f64 / shares[model].work;
+        let highest = models().max_by(|l, r| {
+            let (left, right) = (
+                engines_per_work(*l, counts[*l]),
+                engines_per_work(*r, counts[*r]),
+            );
             left.total_cmp(&right)
         });
-        let Some(most) = most else {
+        let Some(highest) = highest else {
             return;
         };
-        let would_be_even = counts[most] == 0
-            || for_work(most, counts[most] - 1) < for_work(least, counts[least] + 1);
-        if most == least || would_be_even {
+        let is_balanced = counts[highest] == 0
+            || engines_per_work(highest, counts[highest] - 1)
+                < engines_per_work(lowest, counts[lowest] + 1);
+        if highest == lowest || is_balanced {
             return;
         }
-        let of_most = engines
+        let candidates = engines
             .values_mut()
-            .filter(|engine| engine.is_assigned(&shares[most].model) && !engine.is_slow());
-        let Some(engine) = of_most.min_by_key(|engine| engine.running) else {
+            .filter(|engine| engine.is_assigned(&shares[highest].model) && !engine.is_slow());
+        let Some(engine) = candidates.min_by_key(|engine| engine.running) else {
             return;
         };
-        engine.assigned = Some(shares[least].model.clone());
-        counts[most] -= 1;
-        counts[least] += 1;
+        engine.assigned = Some(shares[lowest].model.clone());
+        counts[highest] -= 1;
+        counts[lowest] += 1;
     }
 }
--- a/crates/sloetrail-serving/src/owner/batch_scheduler.rs
+++ b/crates/sloetrail-serving/src/owner/batch_scheduler.rs
@@ -1,85 +1,96 @@
-//! The batch whose item goes to an engine next.
+//! Chooses the batch whose item is dispatched next.
 //!
-//! The most urgent batches go first; among those of one rank tenants take turns by what they
-//! have under way, and within a tenant the batch that was accepted first goes first. A tenant
-//! that submits much so does not delay the others by its queue.
+//! The most urgent batches go first. Within one urgency, tenants take turns by their number of
+//! items in flight; within a tenant, batches go in order of acceptance. A tenant with a long
+//! queue does not delay the others.
 
 use sloetrail_balance::{TenantShares, WorkOwner};
 use sloetrail_batch::{BatchHeader, BatchId};
 use sloetrail_types::Urgency;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A batch with items that may be started. The least was accepted first.
+/// A batch that may have items to start, ordered by time of acceptance.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Candidate {
+struct QueuedBatch {
     accepted_at_ms: u64,
     id: BatchId,
 }
 
-/// The batches of one rank, those of each tenant in the order of their acceptance. No tenant
-/// is held that has none.
-type Rank = BTreeMap<WorkOwner, VecDeque<Candidate>>;
+/// The batches of one urgency: a queue per tenant in order of acceptance. No queue is empty.
+type UrgencyQueues = BTreeMap<WorkOwner, VecDeque<QueuedBatch>>;
 
-/// The batches that have not been found to have nothing to start.
+/// Batches that may still have items to start.
 pub(super) struct BatchScheduler<'a> {
     shares: &'a mut TenantShares,
-    ranks: BTreeMap<Urgency, Rank>,
+    queues_by_urgency: BTreeMap<Urgency, UrgencyQueues>,
 }
 
 impl<'a> BatchScheduler<'a> {
-    /// Turns among these batches; `shares` says what their tenants have under way.
+    /// Queues the batches. `shares` holds the items in flight of each tenant.
     pub(super) fn new<'b>(
         shares: &'a mut TenantShares,
         batches: impl Iterator<Item = (&'b BatchId, &'b BatchHeader)>,
     ) -> Self {
-        let mut ranks: BTreeMap<Urgency, Rank> = BTreeMap::new();
+        let mut queues_by_urgency: BTreeMap<Urgency, UrgencyQueues> = BTreeMap::new();
         for (id, header) in batches {
             let (urgency, accepted_at_ms) = header.urgency();
-            let rank = ranks.entry(urgency).or_default();
-            let of_tenant = rank.entry(header.tenant.clone()).or_default();
+            let queues = queues_by_urgency.entry(urgency).or_default();
+            let tenant_queue = queues.entry(header.tenant.clone()).or_default();
             let id = id.clone();
-            of_tenant.push_back(Candidate { accepted_at_ms, id });
+            tenant_queue.push_back(QueuedBatch { accepted_at_ms, id });
         }
-        for of_tenant in ranks.values_mut().flat_map(Rank::values_mut) {
-            of_tenant.make_contiguous().sort();
+        for tenant_queue in queues_by_urgency
+            .values_mut()
+            .flat_map(UrgencyQueues::values_mut)
+        {
+            tenant_queue.make_contiguous().sort();
+        }
+        Self {
+            shares,
+            queues_by_urgency,
         }
-        Self { shares, ranks }
     }
 
-    /// Calls `start` for the batch whose turn it is, until none has an item to start. `start`
-    /// says whether it started one; a batch that has none is not asked again.
+    /// Calls `start` for the next batch until none has an item to start. `start` returns whether
+    /// it started an item; a batch that has none is not tried again.
     pub(super) fn run(self, mut start: impl FnMut(&BatchId) -> bool) {
-        let Self { shares, ranks } = self;
-        for mut rank in ranks.into_values() {
-            while let Some((tenant, id)) = next(shares, &rank) {
+        let Self {
+            shares,
+            queues_by_urgency,
+        } = self;
+        for mut queues in queues_by_urgency.into_values() {
+            while let Some((tenant, id)) = next_batch(shares, &queues) {
                 if start(id) {
                     shares.began(tenant);
                     continue;
                 }
                 let tenant = tenant.clone();
-                remove_first(&mut rank, &tenant);
+                remove_first(&mut queues, &tenant);
             }
         }
     }
 }
 
-/// The batch whose turn it is in a rank, with its tenant. Of tenants whose turn it is alike,
-/// the one whose batch was accepted first.
-fn next<'b>(shares: &TenantShares, rank: &'b Rank) -> Option<(&'b WorkOwner, &'b BatchId)> {
-    let firsts = rank
+/// The next batch of one urgency, with its tenant. Ties between tenants go to the batch that was
+/// accepted first.
+fn next_batch<'b>(
+    shares: &TenantShares,
+    queues: &'b UrgencyQueues,
+) -> Option<(&'b WorkOwner, &'b BatchId)> {
+    let firsts = queues
         .iter()
-        .filter_map(|(tenant, of_tenant)| Some((tenant, of_tenant.front()?)));
+        .filter_map(|(tenant, tenant_queue)| Some((tenant, tenant_queue.front()?)));
     let next = firsts.min_by_key(|(tenant, first)| (shares.turn(tenant), *first));
     next.map(|(tenant, first)| (tenant, &first.id))
 }
 
-fn remove_first(rank: &mut Rank, tenant: &WorkOwner) {
-    let Some(of_tenant) = rank.get_mut(tenant) else {
+fn remove_first(queues: &mut UrgencyQueues, tenant: &WorkOwner) {
+    let Some(tenant_queue) = queues.get_mut(tenant) else {
         return;
     };
-    of_tenant.pop_front();
-    if of_tenant.is_empty() {
-        rank.remove(tenant);
+    tenant_queue.pop_front();
+    if tenant_queue.is_empty() {
+        queues.remove(tenant);
     }
 }
 
--- a/crates/sloetrail-serving/src/owner/committer.rs
+++ b/crates/sloetrail-serving/src/owner/committer.rs
@@ -1,9 +1,9 @@
-//! Committing results in groups: each gets the next position of its batch.
+//! Commits results in groups and gives each the next position of its batch.
 //!
-//! Whatever has come while a transaction was under way goes into the next one. A
-//! transaction without an answer is sent again as it was, so that a position never
-//! gets another content; one that the fence refuses ends the term. Pieces of texts
-//! that are still being made go along.
+//! Requests that arrive while a transaction is in flight go into the next one. A transaction
+//! without an answer is sent again unchanged, so that the content of a position never changes.
+//! A transaction that the fence refuses ends the term. Checkpoints of running items and counts
+//! of failed runs are committed along with the results.
 
 use super::event::{Committed, OwnerEvent};
 use crate::context::NodeContext;
@@ -19,50 +19,39 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// What is to be committed.
+/// A request to the committer.
 pub(super) enum CommitRequest {
-    /// A batch has been loaded; its next free position.
+    /// Registers a batch. Must precede its results.
     OpenBatch {
-        /// The batch.
         batch: BatchId,
-        /// The next free position.
+        /// The first position without a listed result.
         next_position: usize,
     },
-    /// A result to list.
     ListResult {
-        /// The batch.
         batch: BatchId,
-        /// The item's place in its submission.
         index: ItemIndex,
-        /// The result.
         result: ListedResult,
     },
-    /// How many runs of an item have failed.
+    /// Stores the total number of failed runs of an item.
     RecordFailedRuns {
-        /// The batch.
         batch: BatchId,
-        /// The item's place in its submission.
         index: ItemIndex,
-        /// The number.
         failed_runs: usize,
     },
-    /// A piece of a text to keep.
     SaveCheckpoint {
-        /// The batch.
         batch: BatchId,
-        /// The piece.
         checkpoint: Checkpoint,
     },
 }
 
-/// Something to commit, with the rows that hold it.
-struct Pending {
+/// Rows to commit, and the result that they list, if any.
+struct PendingWrite {
     rows: Vec<(RowAddress, Bytes)>,
     queued_at: BootInstant,
-    listed: Option<Listed>,
+    pending_result: Option<PendingResult>,
 }
 
-struct Listed {
+struct PendingResult {
     batch: BatchId,
     index: ItemIndex,
     position: usize,
@@ -78,39 +67,41 @@
 ) {
     let limits = context.table.limits();
     let mut positions: HashMap<BatchId, usize> = HashMap::new();
-    let mut waiting: Vec<Pending> = Vec::new();
+    let mut waiting: Vec<PendingWrite> = Vec::new();
     loop {
         if waiting.is_empty() {
             let Some(request) = requests.recv().await else {
                 return;
             };
-            add(&mut waiting, take(&mut positions, request, limits));
+            enqueue(&mut waiting, to_write(&mut positions, request, limits));
         }
         while let Ok(request) = requests.try_recv() {
-            add(&mut waiting, take(&mut positions, request, limits));
+            enqueue(&mut waiting, to_write(&mut positions, request, limits));
         }
         if waiting.is_empty() {
             continue;
         }
-        let (transaction, count) = group(&term, &waiting, limits);
-        if !commit(&context, &term, &transaction).await {
+        let (transaction, count) = build_transaction(&term, &waiting, limits);
+        if !commit_with_retries(&context, &term, &transaction).await {
             term.ended.cancel();
             return;
         }
         for pending in waiting.drain(..count) {
             let took = pending.queued_at.elapsed();
-            let committed = pending.listed.map(|listed| committed(listed, took));
+            let committed = pending
+                .pending_result
+                .map(|result| to_committed(result, took));
             if let Some(committed) = committed {
-                // The owner may have stopped already; the result is listed all the same.
+                // The owner may have stopped; the result is committed either way.
                 let _ = events.send(OwnerEvent::Committed(committed));
             }
         }
     }
 }
 
-/// Adds something to commit; a count that is still waiting gives way to a newer one, since a
-/// transaction holds each row once.
-fn add(waiting: &mut Vec<Pending>, pending: Option<Pending>) {
+/// Queues a write. A newer count of failed runs replaces a queued one, since a transaction may
+/// hold each row only once.
+fn enqueue(waiting: &mut Vec<PendingWrite>, pending: Option<PendingWrite>) {
     let Some(pending) = pending else {
         return;
     };
@@ -122,21 +113,23 @@
     waiting.push(pending);
 }
 
-fn committed(listed: Listed, took: Duration) -> Committed {
+fn to_committed(pending: PendingResult, took: Duration) -> Committed {
     Committed {
-        batch: listed.batch,
-        index: listed.index,
-        position: listed.position,
-        result: listed.result,
+        batch: pending.batch,
+        index: pending.index,
+        position: pending.position,
+        result: pending.result,
         took,
     }
 }
 
-fn take(
+/// Converts a request to rows. None if it has none: a new batch, a result of an unregistered
+/// batch, or a checkpoint that is too large for a row.
+fn to_write(
     positions: &mut HashMap<BatchId, usize>,
     request: CommitRequest,
     limits: TableLimits,
-) -> Option<Pending> {
+) -> Option<PendingWrite> {
     match request {
         CommitRequest::OpenBatch {
             batch,
@@ -157,16 +150,16 @@
             let rows = parts
                 .map(|(part, value)| (rows::result_part(&batch, position, part), value))
                 .collect();
-            let listed = Listed {
+            let pending_result = PendingResult {
                 batch,
                 index,
                 position,
                 result,
             };
-            Some(Pending {
+            Some(PendingWrite {
                 rows,
                 queued_at: BootInstant::now(),
-                listed: Some(listed),
+                pending_result: Some(pending_result),
             })
         }
         CommitRequest::RecordFailedRuns {
@@ -175,10 +168,10 @@
             failed_runs,
         } => {
             let address = rows::failed_runs(&batch, index);
-            Some(Pending {
+            Some(PendingWrite {
                 rows: vec![(address, Bytes::from(failed_runs.to_string()))],
                 queued_at: BootInstant::now(),
-                listed: None,
+                pending_result: None,
             })
         }
         CommitRequest::SaveCheckpoint { batch, checkpoint } => {
@@ -193,17 +186,21 @@
                 return None;
             }
             let address = rows::checkpoint(&batch, index, generation, offset);
-            Some(Pending {
+            Some(PendingWrite {
                 rows: vec![(address, value)],
                 queued_at: BootInstant::now(),
-                listed: None,
+                pending_result: None,
             })
         }
     }
 }
 
-/// A transaction of as much as fits, at least one, and its number.
-fn group(term: &Term, waiting: &[Pending], limits: TableLimits) -> (Transaction, usize) {
+/// Builds a transaction of as many queued writes as fit, at least one, and returns their count.
+fn build_transaction(
+    term: &Term,
+    waiting: &[PendingWrite],
+    limits: TableLimits,
+) -> (Transaction, usize) {
     let mut transaction = term.transaction();
     let mut bytes = 0;
     for (count, next) in waiting.iter().enumerate() {
@@ -220,9 +217,13 @@
     (transaction, waiting.len())
 }
 
-/// Sends a transaction until it is done; false if the fence refuses it or the term
+/// Sends a transaction until it is committed. Returns false if the fence refuses it or the term
 /// is over.
-async fn commit(context: &NodeContext, term: &Term, transaction: &Transaction) -> bool {
+async fn commit_with_retries(
+    context: &NodeContext,
+    term: &Term,
+    transaction: &Transaction,
+) -> bool {
     let mut retry = RetryPause::new();
     loop {
         let commit = tokio::select! {
--- a/crates/sloetrail-serving/src/owner/engine.rs
+++ b/crates/sloetrail-serving/src/owner/engine.rs
@@ -1,4 +1,4 @@
-//! One engine, as the owner of its service sees it.
+//! State that the owner of a service keeps for one engine.
 
 use super::engine_sends::EngineSends;
 use super::event_interval::EventIntervalMeter;
@@ -12,23 +12,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An engine counts as slow from this many times the median pace on.
+/// An engine is slow above this multiple of the median event interval.
 const SLOW_FACTOR: f64 = 2.0;
-/// A slow engine counts as recovered below this many times the median pace.
+/// A slow engine has recovered at or below this multiple of the median event interval.
 const RECOVERED_FACTOR: f64 = 1.5;
-/// How often a slow engine gets one item, to see whether it still is slow.
-const PROBE_PERIOD: Duration = Duration::from_millis(1_500);
-/// How long an engine that refused an item gets no other.
-const REFUSED_PAUSE: Duration = Duration::from_millis(40);
-/// How long a place is kept for an item whose run elsewhere is being closed.
-const PLACE_KEPT_FOR: Duration = Duration::from_millis(200);
-/// How long an engine that an owner has taken in counts as cold, whatever is known of it: the
-/// sends of the owner before, which this one does not know, are over by then.
-const TAKEN_IN_FOR: Duration = Duration::from_millis(1_100);
-/// How long a change of weights may take before the engine is asked again.
-const CHANGE_LIMIT: Duration = Duration::from_millis(4_000);
-
-/// A change of weights that an engine has accepted.
+/// How often a slow engine gets an item, to measure its event interval again.
+const PROBE_INTERVAL: Duration = Duration::from_millis(1_500);
+/// How long an engine that refused an item gets no further ones.
+const REFUSAL_BACKOFF: Duration = Duration::from_millis(40);
+/// How long a slot is reserved for an item whose run at another engine is being cancelled.
+const SLOT_RESERVATION_TIMEOUT: Duration = Duration::from_millis(200);
+/// How long a newly added engine counts as cold. Sends of a previous owner are unknown to this
+/// one and no longer count after this time.
+const NEW_ENGINE_COLD_TIME: Duration = Duration::from_millis(1_100);
+/// A version change that takes longer is ordered again.
+const VERSION_CHANGE_TIMEOUT: Duration = Duration::from_millis(4_000);
+
+/// A version change that an engine has accepted and not reported as done.
 #[derive(Clone, Debug)]
 pub(super) struct VersionChangeInFlight {
     pub(super) model: String,
@@ -36,50 +36,45 @@
     pub(super) accepted_at: BootInstant,
 }
 
-/// What an engine's state in the deployment means for sends to it.
+/// Limits on sends to an engine due to an evacuation or its cold start.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SendLimits {
-    /// True if nothing is to be sent to its zone for now.
+    /// True if the engine's zone is evacuated: nothing is sent to it.
     pub(super) evacuated: bool,
-    /// Until when it is cold.
     pub(super) cold_until: Option<BootInstant>,
-    /// What it may get while it is cold, and unnoticed; nothing means as much as it takes.
+    /// Bounds while the engine is cold, or may be cold unnoticed. None if sends are unbounded.
     pub(super) budget: Option<ColdBudget>,
 }
 
-/// One engine.
 pub(super) struct Engine {
     pub(super) back_end: Arc<BackEnd>,
     pub(super) running: usize,
     pub(super) event_interval: Arc<EventIntervalMeter>,
-    /// The versions that it is believed to use.
+    /// The last known version of each model.
     pub(super) versions: BTreeMap<String, WeightVersion>,
     pub(super) change: Option<VersionChangeInFlight>,
-    /// The model that it is kept up to date for.
+    /// The model whose versions the engine is kept up to date with.
     pub(super) assigned: Option<String>,
-    /// True while a call about an order is on its way.
+    /// True while a status or order call is in flight.
     pub(super) has_order_in_flight: bool,
-    /// No order is given before.
     pub(super) order_not_before: BootInstant,
     is_slow: bool,
-    /// Until when a place is kept for an item that is moved here.
-    place_kept_until: Option<BootInstant>,
+    /// End of the reservation for an item that moves to this engine.
+    slot_reserved_until: Option<BootInstant>,
     probed_at: BootInstant,
-    not_before: BootInstant,
-    /// When it last brought an item to its end. Its connection is kept for some seconds.
-    finished_at: Option<BootInstant>,
-    /// Connections that items have left behind and no later item was sent over. Items that
-    /// are started together all find the same ones at rest.
-    left_connections: usize,
+    refused_until: BootInstant,
+    /// When the last item finished. Its connection stays open for some seconds.
+    last_finished_at: Option<BootInstant>,
+    /// Upper estimate of idle connections: finished items minus later sends. The connection pool
+    /// alone would offer the same idle connection to all items that start together.
+    idle_connections: usize,
     losses: LossBackoff,
-    sparing: SendLimits,
-    /// What this owner sent it last.
+    send_limits: SendLimits,
     sends: Arc<EngineSends>,
-    /// When this owner took it in.
-    taken_in_at: BootInstant,
+    added_at: BootInstant,
 }
 
-/// What an item demands of an engine.
+/// The model and version that an item requires of an engine.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ModelRequirement<'a> {
     pub(super) model: Option<&'a str>,
@@ -87,7 +82,6 @@
 }
 
 impl Engine {
-    /// An engine as the directory lists it.
     pub(super) fn new(back_end: &Arc<BackEnd>) -> Self {
         let now = BootInstant::now();
         Self {
@@ -100,20 +94,20 @@
             has_order_in_flight: false,
             order_not_before: now,
             is_slow: false,
-            place_kept_until: None,
+            slot_reserved_until: None,
             probed_at: now,
-            not_before: now,
-            finished_at: None,
-            left_connections: 0,
+            refused_until: now,
+            last_finished_at: None,
+            idle_connections: 0,
             losses: LossBackoff::default(),
-            sparing: SendLimits::default(),
+            send_limits: SendLimits::default(),
             sends: Arc::new(EngineSends::new(now)),
-            taken_in_at: now,
+            added_at: now,
         }
     }
 
-    /// Takes in the engine's row. A version there counts only if it is news: the row
-    /// lags behind what the engine's own answers have told.
+    /// Applies the engine's directory row. A version counts only if the row has changed: rows lag
+    /// behind the versions in the engine's own answers.
     pub(super) fn apply_row(&mut self, back_end: &Arc<BackEnd>) {
         for (model, version) in &back_end.versions {
             if self.back_end.versions.get(model) != Some(version) {
@@ -123,21 +117,20 @@
         self.back_end = Arc::clone(back_end);
     }
 
-    /// Takes in what its state in the deployment means for sends to it.
-    pub(super) fn set_send_limits(&mut self, sparing: SendLimits) {
-        self.sparing = sparing;
+    pub(super) fn set_send_limits(&mut self, send_limits: SendLimits) {
+        self.send_limits = send_limits;
     }
 
-    /// The directory lists the engine no more.
+    /// Marks an engine that the directory no longer lists as draining.
     pub(super) fn mark_unlisted(&mut self) {
         if !self.back_end.draining {
-            let mut gone = BackEnd::clone(&self.back_end);
-            gone.draining = true;
-            self.back_end = Arc::new(gone);
+            let mut unlisted = BackEnd::clone(&self.back_end);
+            unlisted.draining = true;
+            self.back_end = Arc::new(unlisted);
         }
     }
 
-    /// Takes in a version that the engine is known to use.
+    /// Records the version that the engine uses, and completes a pending change to it.
     pub(super) fn record_version(&mut self, model: &str, version: WeightVersion, source: &str) {
         if self.versions.get(model) == Some(&version) {
             return;
@@ -158,109 +151,109 @@
         });
     }
 
-    /// The version of a model that the engine is believed to use.
+    /// The last known version of a model; zero if unknown.
     pub(super) fn version(&self, model: &str) -> WeightVersion {
         self.versions.get(model).copied().unwrap_or_default()
     }
 
-    /// True if the engine is kept up to date for a model.
     pub(super) fn is_assigned(&self, model: &str) -> bool {
         self.assigned.as_deref() == Some(model)
     }
 
-    /// True unless the engine leaves or its zone is evacuated.
+    /// True unless the engine is draining or its zone is evacuated.
     pub(super) fn takes_work(&self) -> bool {
-        !self.back_end.draining && !self.sparing.evacuated
+        !self.back_end.draining && !self.send_limits.evacuated
     }
 
-    /// True if the engine is known to be cold.
     pub(super) fn is_cold(&self, now: BootInstant) -> bool {
-        self.sparing.cold_until.is_some_and(|until| now < until)
+        self.send_limits.cold_until.is_some_and(|until| now < until)
     }
 
-    /// True if something runs there, or was sent there so lately that it still counts.
+    /// True if items run at the engine or its send window still counts a send.
     pub(super) fn is_in_use(&self, now: BootInstant) -> bool {
         self.running > 0 || self.sends.is_in_use(now)
     }
 
-    /// What may be sent to the engine now; nothing if that is not bounded.
+    /// The bound on sends at this time. None if sends are unbounded.
     fn send_bound(&self, now: BootInstant) -> Option<SendBound> {
-        let budget = self.sparing.budget?;
-        let is_new = now < self.taken_in_at + TAKEN_IN_FOR;
+        let budget = self.send_limits.budget?;
+        let is_new = now < self.added_at + NEW_ENGINE_COLD_TIME;
         Some(match self.is_cold(now) || is_new {
             true => budget.owner_bound(),
             false => budget.unnoticed_bound(),
         })
     }
 
-    /// True if the engine bears one more item at this moment.
-    fn bears_more(&self, now: BootInstant) -> bool {
+    /// True if the send bound allows one more item.
+    fn allows_send(&self, now: BootInstant) -> bool {
         let bound = self.send_bound(now);
         bound.is_none_or(|bound| self.sends.has_room(now, bound))
     }
 
-    /// Where runs count what they send the engine again.
+    /// The send window, in which runs count the requests that they repeat.
     pub(super) fn sends(&self) -> Arc<EngineSends> {
         Arc::clone(&self.sends)
     }
 
-    /// What may be sent again by a run that has met a silence; nothing if that is not
-    /// bounded. The engine may have turned cold meanwhile.
+    /// The bound on requests that a run repeats at an unresponsive engine. None if sends are
+    /// unbounded. The bound for cold engines applies, since the engine may have turned cold.
     pub(super) fn resend_bound(&self) -> Option<SendBound> {
-        self.sparing.budget.map(|budget| budget.owner_bound())
+        self.send_limits.budget.map(|budget| budget.owner_bound())
     }
 
-    /// True if the engine takes work and was not lost or did not refuse just now.
+    /// True if the engine takes work and no backoff after a loss or refusal applies.
     pub(super) fn is_usable(&self, now: BootInstant) -> bool {
-        self.takes_work() && self.losses.is_over(now) && now >= self.not_before
+        self.takes_work() && self.losses.is_over(now) && now >= self.refused_until
     }
 
-    /// True if the engine takes an item with this demand now.
-    pub(super) fn can_take(&self, demand: ModelRequirement<'_>, now: BootInstant) -> bool {
+    /// True if the engine can run an item now. A slow engine gets one item per probe interval.
+    pub(super) fn can_take(&self, requirement: ModelRequirement<'_>, now: BootInstant) -> bool {
         let has_room = match self.is_slow {
-            true => self.running == 0 && now >= self.probed_at + PROBE_PERIOD,
+            true => self.running == 0 && now >= self.probed_at + PROBE_INTERVAL,
             false => self.free_slots(now) > 0,
         };
-        self.is_usable(now) && has_room && self.bears_more(now) && self.has_version(demand)
+        self.is_usable(now)
+            && has_room
+            && self.allows_send(now)
+            && self.meets_requirement(requirement)
     }
 
-    /// Places that neither a run nor an item that is moved here has taken.
+    /// Slots that are neither occupied nor reserved.
     pub(super) fn free_slots(&self, now: BootInstant) -> usize {
-        let is_kept = self.place_kept_until.is_some_and(|until| now < until);
-        let taken = self.running + usize::from(is_kept);
+        let is_reserved = self.slot_reserved_until.is_some_and(|until| now < until);
+        let taken = self.running + usize::from(is_reserved);
         self.back_end.slots.saturating_sub(taken)
     }
 
-    /// Keeps a place for an item that is moved here, for a short time.
+    /// Reserves a slot for an item that moves to this engine.
     pub(super) fn reserve_slot(&mut self, now: BootInstant) {
-        self.place_kept_until = Some(now + PLACE_KEPT_FOR);
+        self.slot_reserved_until = Some(now + SLOT_RESERVATION_TIMEOUT);
     }
 
-    /// The item that a place was kept for has come, or will not come.
+    /// Ends the reservation: the item has arrived or will not.
     pub(super) fn release_slot(&mut self) {
-        self.place_kept_until = None;
+        self.slot_reserved_until = None;
     }
 
-    fn has_version(&self, demand: ModelRequirement<'_>) -> bool {
-        let Some(model) = demand.model else {
+    fn meets_requirement(&self, requirement: ModelRequirement<'_>) -> bool {
+        let Some(model) = requirement.model else {
             return true;
         };
         let is_changing = self
             .change
             .as_ref()
             .is_some_and(|change| change.model == model);
-        !is_changing && self.version(model) >= demand.oldest_version
+        !is_changing && self.version(model) >= requirement.oldest_version
     }
 
-    /// True if the engine is much slower than the others.
     pub(super) fn is_slow(&self) -> bool {
         self.is_slow
     }
 
-    /// An item was sent to the engine.
+    /// Records an item that is sent to the engine.
     pub(super) fn record_start(&mut self) {
         self.running += 1;
-        self.left_connections = self.left_connections.saturating_sub(1);
+        self.idle_connections = self.idle_connections.saturating_sub(1);
         let now = BootInstant::now();
         self.sends.record(now);
         if self.is_slow {
@@ -269,47 +262,48 @@
         }
     }
 
-    /// The engine refused an item without running it.
+    /// Records that the engine refused an item without running it.
     pub(super) fn record_refusal(&mut self) {
-        self.not_before = BootInstant::now() + REFUSED_PAUSE;
+        self.refused_until = BootInstant::now() + REFUSAL_BACKOFF;
     }
 
-    /// The engine could not be reached, broke off or fell silent.
+    /// Records that the engine was unreachable, broke off an answer or became unresponsive.
     pub(super) fn record_loss(&mut self) {
         self.losses.note_loss(BootInstant::now());
     }
 
-    /// The engine brought an item to its end.
+    /// Records a run that the engine answered, successfully or not.
     pub(super) fn record_completion(&mut self) {
         self.losses.note_success();
-        self.finished_at = Some(BootInstant::now());
-        self.left_connections += 1;
+        self.last_finished_at = Some(BootInstant::now());
+        self.idle_connections += 1;
     }
 
-    /// True if an item may find a connection that another one has left, if it still rests.
+    /// True if an item may find an idle connection, unless that has been closed meanwhile.
     pub(super) fn may_have_idle_connection(&self) -> bool {
-        self.left_connections > 0
+        self.idle_connections > 0
     }
 
-    /// When it last brought an item to its end.
-    pub(super) fn finished_at(&self) -> Option<BootInstant> {
-        self.finished_at
+    pub(super) fn last_finished_at(&self) -> Option<BootInstant> {
+        self.last_finished_at
     }
 
-    /// Forgets a change of weights that takes too long: the engine is asked again.
+    /// Drops a version change that has timed out, so that it is ordered again.
     pub(super) fn expire_change(&mut self, now: BootInstant) {
-        let is_late = |change: &VersionChangeInFlight| now > change.accepted_at + CHANGE_LIMIT;
-        if self.change.as_ref().is_some_and(is_late) {
+        let has_timed_out =
+            |change: &VersionChangeInFlight| now > change.accepted_at + VERSION_CHANGE_TIMEOUT;
+        if self.change.as_ref().is_some_and(has_timed_out) {
             self.change = None;
         }
     }
 
-    /// Compares its pace with the median; true if its mark has changed.
+    /// Compares the event interval with the median, in microseconds. Returns true if the engine
+    /// became slow or recovered.
     pub(super) fn update_slow(&mut self, median: u64) -> bool {
-        let Some(pace) = self.event_interval.microseconds() else {
+        let Some(interval_us) = self.event_interval.microseconds() else {
             return false;
         };
-        let factor = pace as f64 / median.max(1) as f64;
+        let factor = interval_us as f64 / median.max(1) as f64;
         let is_slow = match self.is_slow {
             true => factor > RECOVERED_FACTOR,
             false => factor > SLOW_FACTOR,
@@ -322,7 +316,7 @@
         events::emit(&Event::PaceChanged {
             back_end: self.back_end.id.as_str(),
             slow: is_slow,
-            pace_us: pace,
+            pace_us: interval_us,
             median_us: median,
         });
         true
--- a/crates/sloetrail-serving/src/owner/engine_sends.rs
+++ b/crates/sloetrail-serving/src/owner/engine_sends.rs
@@ -1,45 +1,44 @@
-//! What an owner has sent one engine, counted where it is sent.
+//! Counts the sends of an owner to one engine.
 //!
-//! Most sends are counted when an item is given to an engine. A run that opens itself anew at
-//! the same engine counts that too, for the first opening may have arrived.
+//! Most sends are counted when an item is dispatched. A run that repeats its request at the same
+//! engine counts that as well, since the first request may have arrived.
 
 use sloetrail_balance::{SendBound, SendWindow};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::Timestamp;
 use std::sync::{Mutex, MutexGuard};
 
-/// The last sends of an owner to an engine.
+/// The send window of an owner for one engine, shared with its runs.
 #[derive(Debug)]
 pub(super) struct EngineSends {
-    counted_from: BootInstant,
+    origin: BootInstant,
     window: Mutex<SendWindow>,
 }
 
 impl EngineSends {
-    /// None so far, on a clock that begins now and counts a freeze.
+    /// An empty window whose timestamps start at `now`.
     pub(super) fn new(now: BootInstant) -> Self {
         Self {
-            counted_from: now,
+            origin: now,
             window: Mutex::default(),
         }
     }
 
-    /// True if the engine was sent something so lately that it still counts.
+    /// True if the window still counts a send.
     pub(super) fn is_in_use(&self, now: BootInstant) -> bool {
         self.window().is_in_use(self.timestamp(now))
     }
 
-    /// True if one more send keeps the bound.
+    /// True if the bound allows one more send.
     pub(super) fn has_room(&self, now: BootInstant, bound: SendBound) -> bool {
         self.window().has_room(self.timestamp(now), bound)
     }
 
-    /// Takes in a send.
     pub(super) fn record(&self, now: BootInstant) {
         self.window().note(self.timestamp(now));
     }
 
-    /// Takes in a send if it keeps the bound; false if it does not and may not be made.
+    /// Records a send if the bound allows it. Returns false if the send must not be made.
     pub(super) fn try_record(&self, now: BootInstant, bound: Option<SendBound>) -> bool {
         let at = self.timestamp(now);
         let mut window = self.window();
@@ -51,7 +50,7 @@
     }
 
     fn timestamp(&self, now: BootInstant) -> Timestamp {
-        let since = now.saturating_duration_since(self.counted_from);
+        let since = now.saturating_duration_since(self.origin);
         Timestamp(since.as_millis() as u64)
     }
 
--- a/crates/sloetrail-serving/src/owner/engines.rs
+++ b/crates/sloetrail-serving/src/owner/engines.rs
@@ -1,4 +1,4 @@
-//! The engines of a service, as its owner sees them.
+//! The engines of a service that its owner uses.
 
 use super::assignment::{ModelShare, assign_models};
 use super::engine::{Engine, ModelRequirement, SendLimits};
@@ -9,39 +9,33 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Paces within this factor of one another count as alike: an engine that is full is
-/// that much slower than an empty one of the same kind.
+/// Event intervals within this factor count as equal: a full engine is this much slower than an
+/// empty one of the same kind.
 pub(super) const SIMILAR_INTERVAL_FACTOR: f64 = 1.12;
 
-/// Which of the engines that could take an item is wanted.
+/// Which of the engines that can take an item is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EnginePreference {
-    /// The fastest, and of those that are about as fast the emptiest: for items with which
-    /// their batch ends.
+    /// The fastest, then the least loaded. For items that determine when their batch ends.
     Fastest,
-    /// One to which a connection rests, then the emptiest: for items that are done before the
-    /// longest one of their batch wherever they run. With the fastest engines for all items,
-    /// whichever those were at the moment, 1,470 of 5,100 items of a day with 390 engines had
-    /// a connection opened for them.
+    /// Engines with an idle connection, then the least loaded. For items that finish before the
+    /// longest one of their batch on any engine. Avoids opening a connection for them.
     Connected,
-    /// The emptiest.
     LeastLoaded,
 }
 
-/// An engine with a free place.
+/// An engine with a free slot and a known event interval.
 pub(super) struct FreeEngine {
-    /// The engine.
     pub(super) id: EngineId,
-    /// Microseconds an event.
     pub(super) event_interval_us: u64,
 }
 
-/// The grade of a pace relative to the median, lower for faster engines; an engine
-/// whose pace is not known counts as an ordinary one.
-fn pace_grade(pace: Option<u64>, median: Option<u64>) -> i32 {
-    match (pace, median) {
-        (Some(pace), Some(median)) if pace > 0 && median > 0 => {
-            let ratio = pace as f64 / median as f64;
+/// Grade of an event interval relative to the median, on a logarithmic scale. Lower is faster. An
+/// unknown interval has the grade of the median.
+fn interval_grade(interval_us: Option<u64>, median_us: Option<u64>) -> i32 {
+    match (interval_us, median_us) {
+        (Some(interval_us), Some(median_us)) if interval_us > 0 && median_us > 0 => {
+            let ratio = interval_us as f64 / median_us as f64;
             (ratio.ln() / SIMILAR_INTERVAL_FACTOR.ln()).round() as i32
         }
         _ => 0,
@@ -52,25 +46,25 @@
 #[derive(Default)]
 pub(super) struct EnginePool {
     engines: BTreeMap<EngineId, Engine>,
-    /// Where they must lie; nothing means anywhere.
-    bound: Option<(Topology, AllowedRegions)>,
+    /// Regions in which the engines must be; None if unrestricted.
+    allowed_regions: Option<(Topology, AllowedRegions)>,
 }
 
 impl EnginePool {
-    /// No engines yet, and later on those of these regions alone.
+    /// An empty pool that accepts only engines in the given regions.
     pub(super) fn within_regions(topology: Topology, regions: AllowedRegions) -> Self {
         Self {
             engines: BTreeMap::new(),
-            bound: Some((topology, regions)),
+            allowed_regions: Some((topology, regions)),
         }
     }
 
     fn may_use(&self, back_end: &BackEnd) -> bool {
-        let bound = self.bound.as_ref();
-        bound.is_none_or(|(topology, regions)| topology.allows(regions, &back_end.zone))
+        let allowed = self.allowed_regions.as_ref();
+        allowed.is_none_or(|(topology, regions)| topology.allows(regions, &back_end.zone))
     }
 
-    /// Takes in the directory.
+    /// Applies a directory. An engine that is no longer listed is removed once it is not in use.
     pub(super) fn apply_directory(&mut self, directory: &Directory, service: &ServiceName) {
         for back_end in directory.of_service(service) {
             if !self.may_use(back_end) {
@@ -95,26 +89,25 @@
         });
     }
 
-    /// Takes in what the engines' state in the deployment means for sends to them.
-    pub(super) fn set_send_limits(&mut self, sparing: impl Fn(&BackEnd) -> SendLimits) {
+    pub(super) fn set_send_limits(&mut self, limits: impl Fn(&BackEnd) -> SendLimits) {
         for engine in self.engines.values_mut() {
-            let sparing = sparing(&engine.back_end);
-            engine.set_send_limits(sparing);
+            let limits = limits(&engine.back_end);
+            engine.set_send_limits(limits);
         }
     }
 
-    /// Gives each engine that takes work a model to be kept up to date for.
+    /// Assigns a model to each engine that takes work.
     pub(super) fn assign(&mut self, shares: &[ModelShare]) {
         assign_models(&mut self.engines, shares);
     }
 
-    /// The engine that takes an item with this demand, or none. Engines that are kept up to
-    /// date for the model go first, then warm ones, then those that are preferred, and of these
-    /// the ones with least to do. Of several the one goes first that was used last, since a
-    /// connection to it is kept. `is_connected` tells whether one rests there.
+    /// Returns the engine for an item, or None if no engine can take it. Engines rank by: assigned
+    /// to the model, not slow, warm, `preference`, fewest items running, and last finished most
+    /// recently, since their connection is likely still open. `is_connected` returns whether an
+    /// idle connection to a back end exists.
     pub(super) fn pick(
         &self,
-        demand: ModelRequirement<'_>,
+        requirement: ModelRequirement<'_>,
         now: BootInstant,
         preference: EnginePreference,
         is_connected: impl Fn(&BackEnd) -> bool,
@@ -122,21 +115,24 @@
         let able = self
             .engines
             .iter()
-            .filter(|(_, engine)| engine.can_take(demand, now));
+            .filter(|(_, engine)| engine.can_take(requirement, now));
         let median = match preference {
             EnginePreference::Fastest => self.median_event_interval_us(),
             EnginePreference::Connected | EnginePreference::LeastLoaded => None,
         };
         let best = able.min_by_key(|(_, engine)| {
-            let assigned = demand.model.is_none_or(|model| engine.is_assigned(model));
-            let used_last = engine.finished_at();
+            let assigned = requirement
+                .model
+                .is_none_or(|model| engine.is_assigned(model));
+            let last_finished_at = engine.last_finished_at();
             let grade = match preference {
                 EnginePreference::Fastest => {
-                    pace_grade(engine.event_interval.microseconds(), median)
+                    interval_grade(engine.event_interval.microseconds(), median)
                 }
                 EnginePreference::Connected => {
-                    let rests = engine.may_have_idle_connection() && is_connected(&engine.back_end);
-                    i32::from(!rests)
+                    let has_connection =
+                        engine.may_have_idle_connection() && is_connected(&engine.back_end);
+                    i32::from(!has_connection)
                 }
                 EnginePreference::LeastLoaded => 0,
             };
@@ -146,23 +142,25 @@
                 engine.is_cold(now),
                 grade,
                 engine.running,
-                Reverse(used_last),
+                Reverse(last_finished_at),
             )
         });
         best.map(|(id, _)| id.clone())
     }
 
-    /// Engines that are neither slow nor cold, meet a demand and have a free place, with
-    /// their paces; the fastest first. Engines whose pace is not known are left out.
+    /// Engines assigned to the model that can take an item and are neither slow nor cold, fastest
+    /// first. Engines without a known event interval are left out.
     pub(super) fn free_engines(
         &self,
-        demand: ModelRequirement<'_>,
+        requirement: ModelRequirement<'_>,
         now: BootInstant,
     ) -> Vec<FreeEngine> {
         let able = self.engines.iter().filter(|(_, engine)| {
-            let assigned = demand.model.is_none_or(|model| engine.is_assigned(model));
+            let assigned = requirement
+                .model
+                .is_none_or(|model| engine.is_assigned(model));
             let is_ordinary = !engine.is_slow() && !engine.is_cold(now);
-            assigned && is_ordinary && engine.can_take(demand, now)
+            assigned && is_ordinary && engine.can_take(requirement, now)
         });
         let mut free: Vec<FreeEngine> = able
             .filter_map(|(id, engine)| {
@@ -176,17 +174,21 @@
         free
     }
 
-    /// Free places of engines that are neither slow nor cold and meet a demand.
-    pub(super) fn free_fast_slots(&self, demand: ModelRequirement<'_>, now: BootInstant) -> usize {
+    /// Free slots of engines that can take an item and are neither slow nor cold.
+    pub(super) fn free_fast_slots(
+        &self,
+        requirement: ModelRequirement<'_>,
+        now: BootInstant,
+    ) -> usize {
         self.engines
             .values()
             .filter(|engine| !engine.is_slow() && !engine.is_cold(now))
-            .filter(|engine| engine.can_take(demand, now))
+            .filter(|engine| engine.can_take(requirement, now))
             .map(|engine| engine.free_slots(now))
             .sum()
     }
 
-    /// The pace of the fastest engine, in microseconds an event.
+    /// The event interval of the fastest engine; None if none is known.
     pub(super) fn min_event_interval_us(&self) -> Option<u64> {
         let engines = self.engines.values();
         engines
@@ -194,17 +196,19 @@
             .min()
     }
 
-    /// The median of the paces of engines that take work, in microseconds an event.
+    /// The median event interval of engines that take work; None if none is known.
     fn median_event_interval_us(&self) -> Option<u64> {
         let engines = self.engines.values().filter(|engine| engine.takes_work());
-        let mut paces: Vec<u64> = engines
+        let mut intervals_us: Vec<u64> = engines
             .filter_map(|engine| engine.event_interval.microseconds())
             .collect();
-        paces.sort_unstable();
-        paces.get(paces.len().checked_sub(1)? / 2).copied()
+        intervals_us.sort_unstable();
+        intervals_us
+            .get(intervals_us.len().checked_sub(1)? / 2)
+            .copied()
     }
 
-    /// Every place, free or not, of the engines that are kept up to date for a model.
+    /// Slots, free or not, of the engines that are assigned to a model and not slow.
     pub(super) fn slots_for_model(&self, model: &str) -> usize {
         let engines = self.engines.values();
         engines
@@ -213,57 +217,53 @@
             .sum()
     }
 
-    /// True if the engines that can be used have so many places, free or not.
-    pub(super) fn has_slots(&self, wanted: usize, now: BootInstant) -> bool {
+    /// True if the usable engines have at least `required` slots, free or not.
+    pub(super) fn has_slots(&self, required: usize, now: BootInstant) -> bool {
         let usable = self.engines.values().filter(|engine| engine.is_usable(now));
-        let mut places = 0;
+        let mut slots = 0;
         for engine in usable {
-            if places >= wanted {
+            if slots >= required {
                 break;
             }
-            places += engine.back_end.slots;
+            slots += engine.back_end.slots;
         }
-        places >= wanted
+        slots >= required
     }
 
-    /// One engine.
     pub(super) fn get(&self, id: &EngineId) -> Option<&Engine> {
         self.engines.get(id)
     }
 
-    /// One engine, to be changed.
     pub(super) fn get_mut(&mut self, id: &EngineId) -> Option<&mut Engine> {
         self.engines.get_mut(id)
     }
 
-    /// Gives a place free that was kept for an item, if one was.
+    /// Ends the reservation of a slot at an engine, if any.
     pub(super) fn release_slot(&mut self, engine: Option<&EngineId>) {
         if let Some(engine) = engine.and_then(|id| self.engines.get_mut(id)) {
             engine.release_slot();
         }
     }
 
-    /// How many engines there are.
     pub(super) fn len(&self) -> usize {
         self.engines.len()
     }
 
-    /// Every engine.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&EngineId, &Engine)> {
         self.engines.iter()
     }
 
-    /// Every engine, to be changed.
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (&EngineId, &mut Engine)> {
         self.engines.iter_mut()
     }
 
-    /// Compares the paces of engines that take work and marks those that are much slower;
-    /// true if a mark has changed. The only one that is left is not slow.
+    /// Updates which of the engines that take work are slow. Returns true if any engine became slow
+    /// or recovered. An engine without another to compare it with is not slow.
     pub(super) fn update_slow_engines(&mut self) -> bool {
         let working = || self.engines.values().filter(|engine| engine.takes_work());
-        let measured = working().filter(|engine| engine.event_interval.microseconds().is_some());
-        let is_comparable = measured.count() >= working().count().min(2);
+        let with_interval =
+            working().filter(|engine| engine.event_interval.microseconds().is_some());
+        let is_comparable = with_interval.count() >= working().count().min(2);
         let Some(median) = self.median_event_interval_us().filter(|_| is_comparable) else {
             return false;
         };
--- a/crates/sloetrail-serving/src/owner/event_interval.rs
+++ b/crates/sloetrail-serving/src/owner/event_interval.rs
@@ -1,47 +1,45 @@
-//! How fast an engine makes events.
+//! Measures the event interval of an engine.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Weight of a new measurement, as a divisor.
-const SMOOTHING: u64 = 6;
+/// A new sample has a weight of one over this.
+const SMOOTHING_DIVISOR: u64 = 6;
 
-/// A gap this many times the known pace is a stall, as while weights change, and tells
-/// nothing of the pace.
+/// A gap above this multiple of the known interval is a stall, such as a version change, and is
+/// not sampled.
 const STALL_FACTOR: u64 = 10;
-/// Measurements before the pace is believed.
-const MEASUREMENTS_LEAST: u64 = 4;
+/// Samples required before an interval is reported.
+const MIN_SAMPLES: u64 = 4;
 
-/// A smoothed time between two events of one run, shared by the runs on an engine.
+/// The smoothed time between two events of a run, shared by all runs at an engine.
 #[derive(Debug, Default)]
 pub(super) struct EventIntervalMeter {
-    microseconds: AtomicU64,
-    measurements: AtomicU64,
+    interval_us: AtomicU64,
+    samples: AtomicU64,
 }
 
 impl EventIntervalMeter {
-    /// Takes in the time between two events.
     pub(super) fn record(&self, gap: Duration) {
-        let gap = gap.as_micros() as u64;
-        let known = self.microseconds.load(Ordering::Relaxed);
-        if self.microseconds().is_some() && gap > known.saturating_mul(STALL_FACTOR) {
+        let gap_us = gap.as_micros() as u64;
+        let known_us = self.interval_us.load(Ordering::Relaxed);
+        if self.microseconds().is_some() && gap_us > known_us.saturating_mul(STALL_FACTOR) {
             return;
         }
-        let next = match self.measurements.fetch_add(1, Ordering::Relaxed) {
-            0 => gap,
-            _ => (known * (SMOOTHING - 1) + gap) / SMOOTHING,
+        let next_us = match self.samples.fetch_add(1, Ordering::Relaxed) {
+            0 => gap_us,
+            _ => (known_us * (SMOOTHING_DIVISOR - 1) + gap_us) / SMOOTHING_DIVISOR,
         };
-        self.microseconds.store(next, Ordering::Relaxed);
+        self.interval_us.store(next_us, Ordering::Relaxed);
     }
 
-    /// The smoothed time in microseconds; nothing before the first few events.
+    /// The smoothed interval. None before `MIN_SAMPLES` samples.
     pub(super) fn microseconds(&self) -> Option<u64> {
-        let measured = self.measurements.load(Ordering::Relaxed) >= MEASUREMENTS_LEAST;
-        measured.then(|| self.microseconds.load(Ordering::Relaxed))
+        let has_samples = self.samples.load(Ordering::Relaxed) >= MIN_SAMPLES;
+        has_samples.then(|| self.interval_us.load(Ordering::Relaxed))
     }
 
-    /// Forgets what was measured.
     pub(super) fn reset(&self) {
-        self.measurements.store(0, Ordering::Relaxed);
+        self.samples.store(0, Ordering::Relaxed);
     }
 }
--- a/crates/sloetrail-serving/src/owner/loading.rs
+++ b/crates/sloetrail-serving/src/owner/loading.rs
@@ -1,4 +1,4 @@
-//! Loading an open batch from the table.
+//! Loads an open batch from the table.
 
 use crate::batch_rows::{KeptWork, read_kept_work, read_results, read_submission};
 use crate::context::NodeContext;
@@ -10,56 +10,53 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-const RETRY_PAUSE: Duration = Duration::from_millis(80);
+const RETRY_DELAY: Duration = Duration::from_millis(80);
 
-/// A batch that is to be loaded.
 pub(super) struct BatchToLoad {
     pub(super) id: BatchId,
     pub(super) header: BatchHeader,
     pub(super) origin: BatchOrigin,
 }
 
-/// A batch with the results that it lists already.
 pub(super) struct LoadedBatch {
     pub(super) batch: Batch,
+    /// Number of results that the table already lists.
     pub(super) listed: usize,
 }
 
-/// Whether owners before this term may have worked on a batch.
+/// Whether owners of earlier terms may have worked on a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BatchOrigin {
-    /// It was accepted before the term began: results and texts may be in the table.
+    /// Accepted before the term began. The table may hold results and checkpoints.
     EarlierTerm,
-    /// It was accepted within the term. Earlier owners are fenced off, so that nobody has
-    /// written results or texts of it. Not looking for them opens a batch two answers of the
-    /// table sooner: 56 of 215 ms where one takes 28 ms (logs of nodes in another region than
-    /// the table's).
+    /// Accepted within the term. Earlier owners are fenced off, so that the table holds neither
+    /// results nor checkpoints. Skipping these reads saves two round trips.
     ThisTerm,
 }
 
-/// Loads a batch; nothing if it cannot be read before the term is over, or is not
-/// whole in the table.
+/// Loads a batch. Returns None if its submission is incomplete or invalid in the table, or cannot
+/// be read before the term is over. `carried` are items that earlier batches left unfinished.
 pub(super) async fn load(
     context: &NodeContext,
-    wanted: &BatchToLoad,
+    request: &BatchToLoad,
     carried: &BTreeSet<ItemId>,
     ended: &CancellationToken,
 ) -> Option<LoadedBatch> {
     loop {
-        match try_load(context, wanted, carried).await {
+        match try_load(context, request, carried).await {
             Ok(loaded) => return loaded,
             Err(_) if ended.is_cancelled() => return None,
-            Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
+            Err(_) => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
 }
 
 async fn try_load(
     context: &NodeContext,
-    wanted: &BatchToLoad,
+    request: &BatchToLoad,
     carried: &BTreeSet<ItemId>,
 ) -> Result<Option<LoadedBatch>, ReadError> {
-    let BatchToLoad { id, header, origin } = wanted;
+    let BatchToLoad { id, header, origin } = request;
     let table = &*context.table;
     let Some(stored) = read_submission(table, id, header.body_rows).await? else {
         return Ok(None);
@@ -85,7 +82,7 @@
     Ok(Some(LoadedBatch { batch, listed }))
 }
 
-/// Takes in what earlier owners wrote of a batch; returns how many results are listed.
+/// Applies what earlier owners wrote for a batch. Returns the number of listed results.
 async fn restore(table: &dyn Table, batch: &mut Batch) -> Result<usize, ReadError> {
     let id = batch.id.clone();
     let mut listed = 0;
@@ -103,7 +100,7 @@
     }
     let KeptWork { texts, failed_runs } = read_kept_work(table, &id).await?;
     for (index, (generation, transcript)) in texts {
-        if !is_open(batch, index) {
+        if !is_waiting(batch, index) {
             continue;
         }
         batch.restore(index, generation, transcript);
@@ -112,13 +109,13 @@
         }
     }
     for (index, failed_runs) in failed_runs {
-        if is_open(batch, index) {
+        if is_waiting(batch, index) {
             batch.restore_failures(index, failed_runs);
         }
     }
     Ok(listed)
 }
 
-fn is_open(batch: &Batch, index: ItemIndex) -> bool {
+fn is_waiting(batch: &Batch, index: ItemIndex) -> bool {
     index < batch.items().len() && batch.item(index).state == ItemState::Waiting
 }
--- a/crates/sloetrail-serving/src/owner/order_task.rs
+++ b/crates/sloetrail-serving/src/owner/order_task.rs
@@ -1,7 +1,7 @@
-//! Giving one order to an engine.
+//! Sends one version order to an engine.
 //!
-//! An engine is asked for its status, then ordered under the count of orders that it
-//! has taken: an order that arrives late, after others, is refused by that count.
+//! The engine's status is read first. The order carries the number of orders that the engine has
+//! accepted so far, so that the engine refuses an order that is overtaken by a later one.
 
 use super::event::{OrderEnd, OwnerEvent, PlannedOrder};
 use crate::back_end::{BackEnd, EngineStatus, OrderAnswer, VersionChange, VersionOrder};
@@ -19,27 +19,26 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-const CALL_TIME: Duration = Duration::from_millis(700);
-const ANSWER_BYTES: usize = 64 * 1024;
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
-/// What it takes to give one order.
 pub(super) struct OrderTask {
     pub(super) context: Arc<NodeContext>,
     pub(super) term: Term,
     pub(super) back_end: Arc<BackEnd>,
     pub(super) order: PlannedOrder,
     pub(super) change: VersionChange,
-    /// The order is not sent later than this.
+    /// The order is not sent after this time.
     pub(super) send_before: BootInstant,
     pub(super) events: mpsc::UnboundedSender<OwnerEvent>,
 }
 
 impl OrderTask {
-    /// Asks the engine and gives the order.
+    /// Reads the engine's status and sends the order if the engine needs and can take it.
     pub(super) async fn run(self) {
-        let status = self.ask().await;
+        let status = self.fetch_status().await;
         let answer = match &status {
-            Some(status) if self.should_order(status) => self.give(status).await,
+            Some(status) if self.should_order(status) => self.send_order(status).await,
             _ => None,
         };
         let order = self.order.clone();
@@ -48,7 +47,7 @@
             status,
             answer,
         };
-        // The owner may be gone; then nobody needs to know.
+        // Fails only if the owner has stopped; the result is not needed then.
         let _ = self.events.send(OwnerEvent::OrderEnded(end));
     }
 
@@ -59,20 +58,21 @@
         is_behind && !status.busy && in_time
     }
 
-    async fn ask(&self) -> Option<EngineStatus> {
+    async fn fetch_status(&self) -> Option<EngineStatus> {
         let dialect = &self.context.dialect;
         let answer = self.call(dialect.status_call()).await.ok()?;
         if !answer.status.is_success() {
             return None;
         }
         let status = dialect.status(&answer.body).ok()?;
-        // A life that began since answers under the same name. What it uses and how many
-        // orders it has taken says nothing of this one.
-        let is_other = status.started_ms.is_some() && status.started_ms != self.back_end.started_ms;
-        (!is_other).then_some(status)
+        // A later incarnation answers under the same name. Its versions and order count do not
+        // apply to this one.
+        let is_other_incarnation =
+            status.started_ms.is_some() && status.started_ms != self.back_end.started_ms;
+        (!is_other_incarnation).then_some(status)
     }
 
-    async fn give(&self, status: &EngineStatus) -> Option<OrderAnswer> {
+    async fn send_order(&self, status: &EngineStatus) -> Option<OrderAnswer> {
         let order = VersionOrder {
             model: self.order.model.clone(),
             version: self.order.version,
@@ -86,13 +86,13 @@
         let answer = answer
             .ok()
             .map(|answer| dialect.order_answer(answer.status));
-        telemetry::order_given(word(answer));
+        telemetry::order_given(outcome_label(answer));
         events::emit(&Event::OrderGiven {
             back_end: self.back_end.id.as_str(),
             model: &self.order.model,
             version: self.order.version.0,
             epoch: self.term.epoch.0,
-            outcome: word(answer),
+            outcome: outcome_label(answer),
         });
         answer
     }
@@ -108,15 +108,15 @@
         let host = self.back_end.address.to_string();
         headers::set_text(sent, &http::header::HOST, &host);
         sent.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        let deadline = BootInstant::now() + CALL_TIME;
+        let deadline = BootInstant::now() + CALL_TIMEOUT;
         let connections = &self.context.connections;
         let sending = connections.send(&self.back_end, request, None, Reuse::Any, deadline);
         let exchange = sending.await?;
-        exchange.whole(ANSWER_BYTES, deadline).await
+        exchange.whole(MAX_ANSWER_BYTES, deadline).await
     }
 }
 
-fn word(answer: Option<OrderAnswer>) -> &'static str {
+fn outcome_label(answer: Option<OrderAnswer>) -> &'static str {
     match answer {
         Some(OrderAnswer::Accepted) => "accepted",
         Some(OrderAnswer::AlreadyInForce) => "already in force",
--- a/crates/sloetrail-serving/src/owner/run.rs
+++ b/crates/sloetrail-serving/src/owner/run.rs
@@ -1,4 +1,4 @@
-//! One run of an item at an engine.
+//! Runs one item at an engine.
 
 use super::engine_sends::EngineSends;
 use super::event_interval::EventIntervalMeter;
@@ -23,16 +23,15 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// The time that an engine is given for one run.
-const RUN_TIME: Duration = Duration::from_secs(60);
-/// How long the head and the first event may take.
-const FIRST_EVENT_LIMIT: Duration = Duration::from_millis(2_500);
-/// How long an engine may be silent between two events.
-const SILENCE_LIMIT: Duration = Duration::from_millis(1_500);
-/// Bytes of an answer that is no series of events.
-const REFUSAL_BYTES: usize = 64 * 1024;
+/// The time that an engine has for one run.
+const RUN_TIMEOUT: Duration = Duration::from_secs(60);
+/// Covers the response head and the first event.
+const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// The maximum time between two events, and without an answer on a reused connection.
+const EVENT_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// The maximum size of an answer that is not an event stream.
+const MAX_REFUSAL_BYTES: usize = 64 * 1024;
 
-/// What a run needs to know.
 pub(super) struct RunSpec {
     pub(super) context: Arc<NodeContext>,
     pub(super) item: Arc<SubmittedItem>,
@@ -42,7 +41,6 @@
     pub(super) oldest_version: WeightVersion,
     pub(super) single_version: bool,
     pub(super) priority: u8,
-    /// What the owner has sent the engine, and how much of it may be sent again.
     pub(super) sends: Arc<EngineSends>,
     pub(super) resend_bound: Option<SendBound>,
     pub(super) quarantine_permit: Passage,
@@ -51,8 +49,7 @@
     pub(super) cancel: CancellationToken,
 }
 
-/// The text of a run and the version that makes it, seen by the owner while the run
-/// goes on.
+/// The text of a run and its weight version, read by the owner during the run.
 #[derive(Debug)]
 pub(super) struct RunProgress {
     state: Mutex<ProgressState>,
@@ -65,7 +62,7 @@
 }
 
 impl RunProgress {
-    /// The progress of a run that goes on from a text.
+    /// Creates the progress of a run that continues `transcript`.
     pub(super) fn new(transcript: Transcript) -> Arc<Self> {
         Arc::new(Self {
             state: Mutex::new(ProgressState {
@@ -75,18 +72,16 @@
         })
     }
 
-    /// The version of the weights that made the last event.
+    /// The weight version in use, once the engine has reported it.
     pub(super) fn version(&self) -> Option<WeightVersion> {
         self.state().version
     }
 
-    /// The text so far.
     pub(super) fn transcript(&self) -> Transcript {
         self.state().transcript.clone()
     }
 
-    /// How many events the text has.
-    pub(super) fn events(&self) -> usize {
+    pub(super) fn event_count(&self) -> usize {
         self.state().transcript.len()
     }
 
@@ -100,36 +95,35 @@
     }
 }
 
-/// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RunOutcome {
-    /// The text is whole.
+    /// The text is complete.
     Completed,
     /// The engine answered that the run failed.
     Failed,
-    /// The engine answered that the item can never be done.
+    /// The engine answered that the item can never succeed.
     Impossible,
-    /// The engine did not run it, being full or busy.
+    /// The engine was full or busy and did not run the item.
     NotRun,
-    /// Another back end listens at the address.
+    /// Another back end answered at the address.
     WrongInstance,
     /// The engine could not be reached.
     NotSent,
-    /// The answer broke off or was none.
+    /// The answer broke off or was invalid.
     Lost,
-    /// The engine fell silent.
+    /// The engine sent nothing within the timeout.
     Unresponsive,
-    /// The engine's weights are too old, or not the only ones allowed.
+    /// The engine's weights are too old, or the text would mix versions where that is not allowed.
     WrongVersion,
-    /// Nothing was sent: the engine takes no work any more, or whether it does is not known
-    /// since the process stood still.
+    /// Nothing was sent: the engine no longer takes work, its state is unknown after a suspension of
+    /// the process, or the quarantine refuses the item.
     Withheld,
-    /// The owner gave it up.
+    /// The owner cancelled the run.
     Cancelled,
 }
 
 impl RunOutcome {
-    /// A word for logs.
+    /// Label in logs and metrics.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             RunOutcome::Completed => "whole",
@@ -147,8 +141,7 @@
     }
 }
 
-/// Runs an item to its end, or until the owner gives it up. The text is in the run's
-/// progress.
+/// Runs an item until it ends or the owner cancels it. The text is in [`RunSpec::progress`].
 pub(super) async fn run_item(spec: RunSpec) -> RunOutcome {
     let cancel = spec.cancel.clone();
     let zone_work = &spec.context.zone_work;
@@ -158,7 +151,7 @@
         spec,
     };
     tokio::select! {
-        outcome = run.run_watched() => outcome,
+        outcome = run.run_with_crash_watch() => outcome,
         () = cancel.cancelled() => RunOutcome::Cancelled,
     }
 }
@@ -169,21 +162,21 @@
 }
 
 impl Run {
-    /// Runs the item; a run that is lost may have ended its engine.
-    async fn run_watched(&mut self) -> RunOutcome {
+    /// Runs the item and reports to the quarantine whether the run may have crashed its engine.
+    async fn run_with_crash_watch(&mut self) -> RunOutcome {
         let watch = self.spec.quarantine_permit.watch_run(&self.spec.back_end);
         let context = Arc::clone(&self.spec.context);
-        let life = self.spec.back_end.id.clone();
+        let incarnation = self.spec.back_end.id.clone();
         let outcome = tokio::select! {
             biased;
             outcome = self.run_to_end() => outcome,
-            () = has_ended(context.ended_lives.clone(), &life) => RunOutcome::Lost,
+            () = has_ended(context.ended_lives.clone(), &incarnation) => RunOutcome::Lost,
         };
         match outcome {
             RunOutcome::Completed | RunOutcome::Failed | RunOutcome::Impossible => watch.answered(),
             RunOutcome::Lost => watch.lost(),
             RunOutcome::NotSent => watch.not_reached(),
-            // It may still run: as if it had been left.
+            // The engine may still be running the item.
             RunOutcome::Unresponsive | RunOutcome::WrongVersion | RunOutcome::Cancelled => {
                 drop(watch)
             }
@@ -195,18 +188,18 @@
     }
 
     async fn run_to_end(&mut self) -> RunOutcome {
-        let first_event_due = BootInstant::now() + FIRST_EVENT_LIMIT;
+        let first_event_due = BootInstant::now() + FIRST_EVENT_TIMEOUT;
         let exchange = match self.open(first_event_due).await {
             Ok(exchange) => exchange,
             Err(outcome) => return outcome,
         };
         if !exchange.status.is_success() {
-            return self.refused(exchange, first_event_due).await;
+            return self.refusal_outcome(exchange, first_event_due).await;
         }
         let names = self.spec.context.dialect.headers();
         let version = headers::number(&exchange.headers, &names.weight_version);
         if let Some(version) = version
-            && !self.take_version(WeightVersion(version))
+            && !self.set_version(WeightVersion(version))
         {
             return RunOutcome::WrongVersion;
         }
@@ -214,14 +207,13 @@
             .await
     }
 
-    /// Opens the run. An item may run again, so that one on a kept connection that says
-    /// nothing is opened anew at the same engine, if that bears one more: the engine may
-    /// only be slow, and then both arrive.
+    /// Sends the request. If a reused connection does not answer, the request is repeated at the
+    /// same engine if the send bound allows: both may arrive, and an item may run twice.
     async fn open(&self, due: BootInstant) -> Result<Exchange, RunOutcome> {
         let names = self.spec.context.dialect.headers();
         let outgoing = self.outgoing();
         let began = BootInstant::now();
-        let reuse = Reuse::Within(SILENCE_LIMIT);
+        let reuse = Reuse::Within(EVENT_TIMEOUT);
         let mut sent = self.send(&outgoing, reuse, due).await?;
         if matches!(sent, Err(SendFailure::KeptSilent)) && self.may_send_again() {
             sent = self.send(&outgoing, reuse.after_try_at(began), due).await?;
@@ -233,7 +225,7 @@
         }
     }
 
-    /// Counts one more send to the engine; false if the engine does not bear it now.
+    /// Counts a repeated send. Returns false if the send bound does not allow it.
     fn may_send_again(&self) -> bool {
         let RunSpec {
             sends,
@@ -251,12 +243,12 @@
     ) -> Result<Result<Exchange, SendFailure>, RunOutcome> {
         let spec = &self.spec;
         let names = spec.context.dialect.headers();
-        let deadline = BootInstant::now() + RUN_TIME;
+        let deadline = BootInstant::now() + RUN_TIMEOUT;
         let request = build_request(outgoing, &spec.back_end, names, deadline)
             .ok_or(RunOutcome::Impossible)?;
         let connections = &spec.context.connections;
-        let passage = Some(&spec.quarantine_permit);
-        let sending = connections.send(&spec.back_end, request, passage, reuse, due);
+        let permit = Some(&spec.quarantine_permit);
+        let sending = connections.send(&spec.back_end, request, permit, reuse, due);
         Ok(sending.await)
     }
 
@@ -289,9 +281,9 @@
         }
     }
 
-    async fn refused(&self, exchange: Exchange, due: BootInstant) -> RunOutcome {
+    async fn refusal_outcome(&self, exchange: Exchange, due: BootInstant) -> RunOutcome {
         let status = exchange.status;
-        if let Err(failure) = exchange.whole(REFUSAL_BYTES, due).await {
+        if let Err(failure) = exchange.whole(MAX_REFUSAL_BYTES, due).await {
             return run_outcome(&judge_failure(failure));
         }
         match status.as_u16() {
@@ -306,42 +298,42 @@
         loop {
             let due = match self.last_event_at {
                 None => first_due,
-                Some(at) => at + SILENCE_LIMIT,
+                Some(at) => at + EVENT_TIMEOUT,
             };
-            let piece = match sloetrail_clock::timeout_at(due, body.next_piece()).await {
-                Ok(Ok(piece)) => piece,
+            let chunk = match sloetrail_clock::timeout_at(due, body.next_piece()).await {
+                Ok(Ok(chunk)) => chunk,
                 Ok(Err(_)) => return RunOutcome::Lost,
                 Err(_) => return RunOutcome::Unresponsive,
             };
-            let Some(piece) = piece else {
+            let Some(chunk) = chunk else {
                 let is_empty = self.spec.progress.state().transcript.is_empty();
                 return match parser.is_within_event() || is_empty {
                     true => RunOutcome::Lost,
                     false => RunOutcome::Completed,
                 };
             };
-            let Ok(events) = parser.push(&piece) else {
+            let Ok(events) = parser.push(&chunk) else {
                 return RunOutcome::Lost;
             };
             for event in events {
-                if let Some(outcome) = self.take_event(event) {
+                if let Some(outcome) = self.apply_event(event) {
                     return outcome;
                 }
             }
         }
     }
 
-    /// Keeps an event; returns an outcome if the run cannot go on.
-    fn take_event(&mut self, event: StreamEvent) -> Option<RunOutcome> {
+    /// Appends an event to the text. Returns an outcome if the run cannot continue.
+    fn apply_event(&mut self, event: StreamEvent) -> Option<RunOutcome> {
         if let Some(version) = event.extra
-            && !self.take_version(WeightVersion(version))
+            && !self.set_version(WeightVersion(version))
         {
             return Some(RunOutcome::WrongVersion);
         }
         let Some(number) = event.id else {
             return Some(RunOutcome::Lost);
         };
-        if !self.keep(number, event.data) {
+        if !self.append(number, event.data) {
             return Some(RunOutcome::Lost);
         }
         let now = BootInstant::now();
@@ -353,8 +345,8 @@
         None
     }
 
-    /// Adds an event to the text; false if it does not follow.
-    fn keep(&self, number: u64, data: String) -> bool {
+    /// Returns false if the event number does not follow the last one.
+    fn append(&self, number: u64, data: String) -> bool {
         let mut state = self.spec.progress.state();
         let version = state.version;
         let event = TranscriptEvent {
@@ -366,20 +358,20 @@
         state.transcript.push(event).is_ok()
     }
 
-    /// The engine under its own name, if readers are told which one made what: they know it by
-    /// that, whatever life of it made the event.
+    /// The instance name of the engine, if results report the engine of each segment. It is the
+    /// same for all incarnations.
     fn reported_engine(&self) -> Option<EngineId> {
-        let tells_segments = self.spec.context.dialect.tells_segments();
-        tells_segments.then(|| EngineId::new(&self.spec.back_end.instance))
+        let reports_segments = self.spec.context.dialect.tells_segments();
+        reports_segments.then(|| EngineId::new(&self.spec.back_end.instance))
     }
 
-    /// Takes in the version that makes the events from here on; false if it may not.
-    fn take_version(&self, version: WeightVersion) -> bool {
+    /// Sets the version of the following events. Returns false if the item does not allow it.
+    fn set_version(&self, version: WeightVersion) -> bool {
         let mut state = self.spec.progress.state();
         state.version = Some(version);
         let is_other = |known: &WeightVersion| *known != version;
-        let mixes = self.spec.single_version && state.transcript.versions().iter().any(is_other);
-        version >= self.spec.oldest_version && !mixes
+        let is_mixed = self.spec.single_version && state.transcript.versions().iter().any(is_other);
+        version >= self.spec.oldest_version && !is_mixed
     }
 }
 
--- a/crates/sloetrail-serving/src/owner/service_owner.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner.rs
@@ -94,7 +94,7 @@
         let runs = &self.runs;
         let made = |index| {
             let run: Option<&ActiveRun> = runs.get(&index);
-            run.map_or(0, |run| run.progress.events())
+            run.map_or(0, |run| run.progress.event_count())
         };
         self.outlook = self.batch.outlook(lengths, self.age(), made);
     }
--- a/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
@@ -176,7 +176,7 @@
         return None;
     }
     let pace = engines.get(&run.engine)?.event_interval.microseconds()?;
-    let made = run.progress.events();
+    let made = run.progress.event_count();
     let hinted = batch.item(index).expected_length;
     let remaining = lengths.remaining_events(hinted, made)?;
     Some(Candidate {
--- a/crates/sloetrail-serving/src/owner/sweeper.rs
+++ b/crates/sloetrail-serving/src/owner/sweeper.rs
@@ -1,7 +1,7 @@
-//! Deleting batches that nobody may read any more.
+//! Deletes batches whose retention period is over.
 //!
-//! Rows are read to be deleted, with what they hold. So each owner deletes the batches of its
-//! own set: the rows of bound ones come to nodes of their regions alone.
+//! Rows are read before they are deleted. Each owner therefore deletes only batches of its own
+//! set, so that rows of region-bound batches are read only by nodes in their regions.
 
 use crate::batch_rows::decode_header;
 use crate::context::NodeContext;
@@ -12,12 +12,11 @@
 use sloetrail_batch::BatchId;
 use std::sync::Arc;
 
-/// Rows are kept this much longer than readers were promised.
-const MARGIN_MS: u64 = 60_000;
-/// Batches deleted in one round, so that a round stays small.
-const BATCHES_A_ROUND: usize = 8;
+/// Rows are kept this much longer than the promised retention.
+const RETENTION_MARGIN_MS: u64 = 60_000;
+const MAX_BATCHES_PER_SWEEP: usize = 8;
 
-/// Deletes a few batches of a set that are past their time.
+/// Deletes up to `MAX_BATCHES_PER_SWEEP` expired batches of a set.
 pub(super) async fn sweep(
     context: Arc<NodeContext>,
     set: BatchSet,
@@ -27,34 +26,36 @@
     let Some(now_ms) = context.table.now_ms() else {
         return;
     };
-    let kept_ms = context.settings.bounds.batch_status.as_millis() as u64 + MARGIN_MS;
-    for id in past_their_time(&batches, &set, now_ms, kept_ms) {
+    let min_retention_ms =
+        context.settings.bounds.batch_status.as_millis() as u64 + RETENTION_MARGIN_MS;
+    for id in expired_batches(&batches, &set, now_ms, min_retention_ms) {
         if !delete(&context, &term, id).await {
             return;
         }
     }
 }
 
-/// A few batches of a set that were kept for this time, and for that of their readers.
-fn past_their_time<'a>(
+/// Up to `MAX_BATCHES_PER_SWEEP` batches of a set whose age exceeds both `min_retention_ms` and
+/// their own retention.
+fn expired_batches<'a>(
     batches: &'a TableView,
     set: &BatchSet,
     now_ms: u64,
-    kept_ms: u64,
+    min_retention_ms: u64,
 ) -> Vec<&'a BatchId> {
     let rows = batches.rows.iter();
-    let past_their_time = rows.filter(|(_, row)| {
+    let expired = rows.filter(|(_, row)| {
         decode_header(&row.value).is_some_and(|header| {
-            let kept_ms = kept_ms.max(header.retention_ms + MARGIN_MS);
-            set.holds(&header) && now_ms > header.accepted_at_ms + kept_ms
+            let retention_ms = min_retention_ms.max(header.retention_ms + RETENTION_MARGIN_MS);
+            set.holds(&header) && now_ms > header.accepted_at_ms + retention_ms
         })
     });
-    let ids = past_their_time.map(|(id, _)| id);
-    ids.take(BATCHES_A_ROUND).collect()
+    let ids = expired.map(|(id, _)| id);
+    ids.take(MAX_BATCHES_PER_SWEEP).collect()
 }
 
-/// Deletes a batch, its head last, so that a broken deletion is taken up again. What the
-/// owner wrote is deleted within its term; the rest cannot change any more.
+/// Deletes a batch. Its header row goes last, so that an interrupted deletion is resumed. Rows that
+/// an owner wrote are deleted under the current term; the other rows no longer change.
 async fn delete(context: &NodeContext, term: &Term, id: &str) -> bool {
     let Some(mut written) = scan_keys(context, rows::checkpoints(id)).await else {
         return false;
@@ -72,12 +73,12 @@
         && delete_rows(context, &Transaction::new(), &submitted).await
 }
 
-/// Deletes rows in the order given, each group under the conditions of `first`.
-async fn delete_rows(context: &NodeContext, first: &Transaction, addresses: &[RowAddress]) -> bool {
-    let entries = context.table.limits().transaction_entries - first.conditions.len();
-    for group in addresses.chunks(entries) {
-        let mut transaction = first.clone();
-        transaction.deletes = group.to_vec();
+/// Deletes rows in the given order, in transactions under the conditions of `base`.
+async fn delete_rows(context: &NodeContext, base: &Transaction, addresses: &[RowAddress]) -> bool {
+    let entries = context.table.limits().transaction_entries - base.conditions.len();
+    for chunk in addresses.chunks(entries) {
+        let mut transaction = base.clone();
+        transaction.deletes = chunk.to_vec();
         let commit = context.table.commit(&transaction).await;
         if !matches!(commit, Ok(Commit::Done(_))) {
             return false;
