--- a/crates/sloetrail-serving/src/owner/batch_scheduler/tests.rs
+++ b/crates/sloetrail-serving/src/owner/batch_scheduler/tests.rs
@@ -1,5 +1,3 @@
-//! Who goes next among batches, as the owner asks for it.
-
 use super::BatchScheduler;
 use sloetrail_balance::TenantShares;
 use sloetrail_batch::{BatchHeader, BatchId};
@@ -27,20 +25,20 @@
     }
 }
 
-/// The order in which items of these batches start at so many places.
+/// The batches whose items start, in order, when `slots` are free.
 fn order(
     shares: &mut TenantShares,
     batches: &[(&str, BatchHeader, usize)],
-    places: usize,
+    slots: usize,
 ) -> Vec<String> {
     let ids: Vec<BatchId> = batches.iter().map(|(id, _, _)| (*id).into()).collect();
-    let mut left: BTreeMap<&str, usize> =
+    let mut remaining: BTreeMap<&str, usize> =
         batches.iter().map(|(id, _, items)| (*id, *items)).collect();
     let mut started = Vec::new();
     let headers = batches.iter().map(|(_, header, _)| header);
     BatchScheduler::new(shares, ids.iter().zip(headers)).run(|id| {
-        let items = left.get_mut(id.as_str()).expect("known");
-        if *items == 0 || started.len() == places {
+        let items = remaining.get_mut(id.as_str()).expect("known");
+        if *items == 0 || started.len() == slots {
             return false;
         }
         *items -= 1;
@@ -51,7 +49,7 @@
 }
 
 #[test]
-fn items_of_tenants_take_turns_though_one_has_submitted_many() {
+fn tenants_take_turns_despite_one_long_queue() {
     let batches = [
         ("flood-1", header("flood", 5, 1), 10),
         ("flood-2", header("flood", 5, 2), 10),
@@ -63,7 +61,7 @@
 }
 
 #[test]
-fn within_a_tenant_the_batch_that_was_accepted_first_goes_first() {
+fn batches_of_a_tenant_start_in_acceptance_order() {
     let batches = [
         ("a-late", header("one", 5, 9), 2),
         ("b-early", header("one", 5, 4), 2),
@@ -73,7 +71,7 @@
 }
 
 #[test]
-fn a_more_urgent_batch_goes_first_whatever_its_tenant_has_under_way() {
+fn urgent_batch_starts_first_despite_busy_tenant() {
     let mut shares = TenantShares::default();
     let busy = Some(TenantName::from("busy"));
     shares.recount([(&busy, 6)].into_iter());
@@ -86,7 +84,7 @@
 }
 
 #[test]
-fn one_place_goes_from_tenant_to_tenant() {
+fn single_slot_alternates_between_tenants() {
     let batches = [
         ("flood", header("flood", 5, 1), 10),
         ("other", header("other", 5, 2), 10),
@@ -101,7 +99,7 @@
 }
 
 #[test]
-fn batches_that_have_nothing_to_start_cost_no_more_than_a_look_each() {
+fn batches_without_items_are_checked_once() {
     const BATCHES: u64 = 10_000;
     let tenants = ["one", "two", "three"].iter().cycle();
     let batches = (0..BATCHES).zip(tenants);
@@ -110,13 +108,13 @@
         .collect();
     let mut shares = TenantShares::default();
     let began = Instant::now();
-    let mut looks = 0;
+    let mut checks = 0;
     let batches = headers.iter().map(|(id, header)| (id, header));
     BatchScheduler::new(&mut shares, batches).run(|_| {
-        looks += 1;
+        checks += 1;
         false
     });
-    let took = began.elapsed();
-    assert_eq!(looks, BATCHES);
-    assert!(took < Duration::from_secs(1), "{took:?}");
+    let elapsed = began.elapsed();
+    assert_eq!(checks, BATCHES);
+    assert!(elapsed < Duration::from_secs(1), "{elapsed:?}");
 }
--- a/crates/sloetrail-serving/src/owner/engines/tests.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests.rs
@@ -65,7 +65,7 @@
     pool
 }
 
-/// How many engines that are not slow each model has.
+/// The number of engines that are not slow, by model.
 fn fast_engines(pool: &EnginePool) -> BTreeMap<&'static str, usize> {
     let count = |model: &str| {
         let assigned = pool.iter().filter(|(_, engine)| engine.is_assigned(model));
@@ -74,20 +74,19 @@
     MODELS.iter().map(|model| (*model, count(model))).collect()
 }
 
-fn set_pace(pool: &EnginePool, id: &EngineId, milliseconds: u64) {
-    let pace = &pool.get(id).expect("known").event_interval;
-    pace.reset();
+fn set_event_interval(pool: &EnginePool, id: &EngineId, interval_ms: u64) {
+    let interval = &pool.get(id).expect("known").event_interval;
+    interval.reset();
     for _ in 0..12 {
-        pace.record(Duration::from_millis(milliseconds));
+        interval.record(Duration::from_millis(interval_ms));
     }
 }
 
-/// No connection rests at any engine.
-fn unconnected(_: &BackEnd) -> bool {
+fn not_connected(_: &BackEnd) -> bool {
     false
 }
 
-fn any_item<'a>() -> ModelRequirement<'a> {
+fn no_requirement<'a>() -> ModelRequirement<'a> {
     ModelRequirement {
         model: None,
         oldest_version: WeightVersion(0),
@@ -104,7 +103,7 @@
     }
 }
 
-fn of_model(pool: &EnginePool, model: &str) -> Vec<EngineId> {
+fn engines_of_model(pool: &EnginePool, model: &str) -> Vec<EngineId> {
     let assigned = pool.iter().filter(|(_, engine)| engine.is_assigned(model));
     assigned.map(|(id, _)| id.clone()).collect()
 }
--- a/crates/sloetrail-serving/src/owner/engines/tests/cold.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests/cold.rs
@@ -1,6 +1,4 @@
-//! Engines that are cold, or may be.
-
-use super::{FASTEST, any_item, directory, pool, set_pace, unconnected};
+use super::{FASTEST, directory, no_requirement, not_connected, pool, set_event_interval};
 use crate::owner::engine::SendLimits;
 use crate::owner::engines::EnginePool;
 use sloetrail_balance::ColdBudget;
@@ -8,14 +6,14 @@
 use sloetrail_types::{EngineId, ServiceName};
 use std::time::Duration;
 
-/// What is allowed is 16 a second, 7 of them to a cold engine.
+/// Allows 16 sends per second in all and 7 to a cold engine.
 const BUDGET: ColdBudget = ColdBudget {
     bears: 7.9,
     most: 16.85,
     ways: 1,
 };
 
-fn spare(pool: &mut EnginePool, cold: &[&EngineId], until: BootInstant) {
+fn set_cold(pool: &mut EnginePool, cold: &[&EngineId], until: BootInstant) {
     pool.set_send_limits(|back_end| SendLimits {
         evacuated: false,
         cold_until: cold.contains(&&back_end.id).then_some(until),
@@ -23,10 +21,10 @@
     });
 }
 
-/// Sends items to the only engine until it takes no more; how many it took.
+/// Sends items to the only engine until it takes no more. Returns how many it took.
 fn send_all(pool: &mut EnginePool) -> usize {
     let mut sent = 0;
-    while let Some(id) = pool.pick(any_item(), BootInstant::now(), FASTEST, unconnected) {
+    while let Some(id) = pool.pick(no_requirement(), BootInstant::now(), FASTEST, not_connected) {
         let engine = pool.get_mut(&id).expect("known");
         engine.record_start();
         engine.running -= 1;
@@ -36,48 +34,51 @@
 }
 
 #[test]
-fn warm_engines_go_first_and_texts_are_not_moved_to_cold_ones() {
+fn cold_engines_are_picked_last_and_never_for_moves() {
     let mut pool = pool(2);
     let (cold, warm) = (EngineId::new("e0"), EngineId::new("e1"));
-    set_pace(&pool, &cold, 40);
-    set_pace(&pool, &warm, 52);
+    set_event_interval(&pool, &cold, 40);
+    set_event_interval(&pool, &warm, 52);
     let now = BootInstant::now();
-    spare(&mut pool, &[&cold], now + Duration::from_secs(5));
+    set_cold(&mut pool, &[&cold], now + Duration::from_secs(5));
     pool.get_mut(&warm).expect("known").record_start();
     assert_eq!(
-        pool.pick(any_item(), now, FASTEST, unconnected),
+        pool.pick(no_requirement(), now, FASTEST, not_connected),
         Some(warm.clone())
     );
-    let targets = pool.free_engines(any_item(), now);
+    let targets = pool.free_engines(no_requirement(), now);
     let targets: Vec<EngineId> = targets.into_iter().map(|engine| engine.id).collect();
     assert_eq!(targets, vec![warm.clone()]);
-    assert_eq!(pool.free_fast_slots(any_item(), now), 7);
+    assert_eq!(pool.free_fast_slots(no_requirement(), now), 7);
     for _ in 0..7 {
         pool.get_mut(&warm).expect("known").record_start();
     }
-    assert_eq!(pool.pick(any_item(), now, FASTEST, unconnected), Some(cold));
+    assert_eq!(
+        pool.pick(no_requirement(), now, FASTEST, not_connected),
+        Some(cold)
+    );
 }
 
 #[test]
-fn an_engine_that_vanishes_and_returns_gets_no_second_share() {
+fn relisted_engine_gets_no_second_send_budget() {
     let mut pool = pool(1);
     let until = BootInstant::now() + Duration::from_secs(5);
     let id = EngineId::new("e0");
-    spare(&mut pool, &[&id], until);
+    set_cold(&mut pool, &[&id], until);
     assert_eq!(send_all(&mut pool), 7);
     let service = ServiceName::from("models");
     pool.apply_directory(&directory(0, &[]), &service);
-    assert_eq!(send_all(&mut pool), 0, "it is not listed");
+    assert_eq!(send_all(&mut pool), 0, "the engine is not listed");
     pool.apply_directory(&directory(1, &[]), &service);
-    spare(&mut pool, &[&id], until);
-    assert_eq!(send_all(&mut pool), 0, "it had its share");
+    set_cold(&mut pool, &[&id], until);
+    assert_eq!(send_all(&mut pool), 0, "its budget is used up");
 }
 
 #[test]
-fn an_engine_that_was_taken_in_just_now_counts_as_cold_and_later_may_be_so_unnoticed() {
+fn new_engine_is_cold_then_unnoticed_bound_applies() {
     let mut pool = pool(1);
     let until = BootInstant::now();
-    spare(&mut pool, &[], until);
+    set_cold(&mut pool, &[], until);
     assert_eq!(send_all(&mut pool), 7);
     std::thread::sleep(Duration::from_millis(1_250));
     assert_eq!(send_all(&mut pool), 9);
--- a/crates/sloetrail-serving/src/owner/engines/tests/orders.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests/orders.rs
@@ -1,6 +1,4 @@
-//! Which engines are brought to which version, and when.
-
-use super::{MODELS, of_model, pool, share, target};
+use super::{MODELS, engines_of_model, pool, share, target};
 use crate::owner::engines::EnginePool;
 use crate::owner::publications::Publications;
 use crate::owner::rollout_plan::{ModelTarget, concurrent_changes, plan};
@@ -8,7 +6,7 @@
 use sloetrail_types::{EngineId, WeightVersion};
 use std::time::Duration;
 
-/// The target of a quiet model: a tenth of its engines is enough for its batches.
+/// A target whose batches need a tenth of the model's engines.
 fn needs_few(published: u64, needed: u64) -> ModelTarget {
     ModelTarget {
         ready_share: 0.1,
@@ -17,8 +15,7 @@
     }
 }
 
-/// Lets engines use a version of their model.
-fn use_version(pool: &mut EnginePool, ids: &[EngineId], version: u64) {
+fn set_version(pool: &mut EnginePool, ids: &[EngineId], version: u64) {
     for id in ids {
         let engine = pool.get_mut(id).expect("known");
         engine.record_version("a", WeightVersion(version), "test");
@@ -26,7 +23,7 @@
 }
 
 #[test]
-fn orders_are_planned_a_few_at_a_time() {
+fn plan_is_limited_to_concurrent_changes() {
     let pool = pool(9);
     let now = BootInstant::now();
     let orders = plan(&pool, &[target("b", 4, 4)], 2, now);
@@ -43,10 +40,10 @@
 }
 
 #[test]
-fn engines_that_no_batch_can_use_change_before_those_that_lag_behind() {
+fn unusable_engines_change_before_outdated_ones() {
     let mut pool = pool(36);
-    let ids = of_model(&pool, "a");
-    use_version(&mut pool, &ids, 3);
+    let ids = engines_of_model(&pool, "a");
+    set_version(&mut pool, &ids, 3);
     let targets = [target("a", 4, 3), target("b", 4, 3), target("c", 4, 3)];
     let concurrent = concurrent_changes(36, 2);
     assert_eq!(concurrent, 8, "a fifth of the engines");
@@ -55,79 +52,77 @@
     assert_eq!(
         (of("a"), of("b"), of("c")),
         (0, 4, 4),
-        "the models without a usable engine share what may change"
+        "models without a usable engine share the concurrent changes"
     );
 }
 
 #[test]
-fn half_of_the_engines_that_batches_can_use_stay_in_service() {
+fn half_of_usable_engines_stay_in_service() {
     let pool = pool(6);
     let orders = plan(&pool, &[target("a", 2, 1)], 6, BootInstant::now());
-    assert_eq!(orders.len(), 1, "one of two");
+    assert_eq!(orders.len(), 1, "one of two engines");
     let orders = plan(&pool, &[target("a", 2, 2)], 6, BootInstant::now());
-    assert_eq!(orders.len(), 2, "neither is of any use as it is");
+    assert_eq!(orders.len(), 2, "neither engine is usable");
 }
 
 const MANY_ENGINES: usize = 3_000;
 
-/// The least time of several tries of a piece of work: a busy machine makes some longer.
-fn least_time(work: impl Fn()) -> Duration {
-    const TRIES: usize = 8;
-    let times = (0..TRIES).map(|_| {
+/// The shortest time of several runs, which filters out load on the machine.
+fn min_duration(work: impl Fn()) -> Duration {
+    const RUNS: usize = 8;
+    let times = (0..RUNS).map(|_| {
         let began = std::time::Instant::now();
         work();
         began.elapsed()
     });
-    times.min().expect("one at least")
+    times.min().expect("at least one run")
 }
 
-/// How long it takes to find so many engines and to assign them.
-fn time_to_assign_many_engines() -> Duration {
-    least_time(|| drop(pool(MANY_ENGINES)))
+fn assignment_time() -> Duration {
+    min_duration(|| drop(pool(MANY_ENGINES)))
 }
 
-/// A plan looks at each engine once for each model, a tenth of the work of finding and
-/// assigning them. Counting the engines of a model anew for each of the 600 orders would be
-/// a multiple of that.
+/// Guards against counting the engines of a model again for each of the 600 orders, which takes
+/// several times as long as the assignment of all engines.
 #[test]
-fn the_work_of_a_plan_does_not_grow_with_the_square_of_the_engines() {
-    let assigned = time_to_assign_many_engines();
+fn planning_time_is_not_quadratic_in_engines() {
+    let assigned = assignment_time();
     let pool = pool(MANY_ENGINES);
     let targets = MODELS.map(|model| target(model, 2, 1));
     let concurrent = concurrent_changes(MANY_ENGINES, 2);
-    let planned = least_time(|| {
+    let planned = min_duration(|| {
         let orders = plan(&pool, &targets, concurrent, BootInstant::now());
         assert_eq!(orders.len(), MANY_ENGINES / 5);
     });
     assert!(planned < assigned, "{planned:?}, {assigned:?}");
 }
 
-/// As many engines in small pools are as much work, but for what grows with the square: of
-/// that they take a hundredth.
+/// Guards against quadratic work: for the same number of engines, a hundred small pools take a
+/// hundredth of it.
 #[test]
-fn the_work_of_a_first_assignment_does_not_grow_with_the_square_of_the_engines() {
+fn assignment_time_is_not_quadratic_in_engines() {
     const POOLS: usize = 100;
-    /// Memory that is farther away makes it up to two.
-    const TIMES_MOST: u32 = 5;
-    let in_small_pools = least_time(|| {
+    /// Cache misses alone cause a ratio of up to two.
+    const MAX_RATIO: u32 = 5;
+    let in_small_pools = min_duration(|| {
         for _ in 0..POOLS {
             drop(pool(MANY_ENGINES / POOLS));
         }
     });
-    let assigned = time_to_assign_many_engines();
+    let assigned = assignment_time();
     assert!(
-        assigned < in_small_pools * TIMES_MOST,
+        assigned < in_small_pools * MAX_RATIO,
         "{assigned:?}, {in_small_pools:?}"
     );
 }
 
-/// The largest deployment to design for: new weights every four minutes, on all engines
-/// within 8 s; 890 engines in five services are 178 in each.
+/// The largest supported deployment has 178 engines per service and new weights every four
+/// minutes, which must reach all engines within 8 s.
 #[test]
-fn a_version_that_comes_after_minutes_is_on_all_engines_of_a_large_service_in_8_s() {
+fn infrequent_version_reaches_178_engines_within_8_s() {
     const ENGINES: usize = 178;
-    const CHANGE: Duration = Duration::from_millis(920);
-    const LOOK: Duration = Duration::from_millis(100);
+    const CHANGE_TIME: Duration = Duration::from_millis(920);
+    const PLAN_INTERVAL: Duration = Duration::from_millis(100);
     let published_at = BootInstant::now() + Duration::from_secs(240);
     let mut publications = Publications::default();
     publications.record("a", WeightVersion(1), BootInstant::now());
@@ -141,36 +136,43 @@
         engines.all(|(_, engine)| engine.version("a") == WeightVersion(2))
     };
     while !has_all(&pool) {
-        assert!(now < published_at + Duration::from_secs(8), "too late");
+        assert!(
+            now < published_at + Duration::from_secs(8),
+            "the version is not on all engines after 8 s"
+        );
         let is_done = |(done_at, _): &(BootInstant, EngineId)| *done_at <= now;
         for (_, id) in changing.extract_if(.., |change| is_done(change)) {
             let engine = pool.get_mut(&id).expect("known");
             engine.record_version("a", WeightVersion(2), "test");
             engine.has_order_in_flight = false;
         }
-        let wanted = match publications.is_long_lived("a", now) {
+        let model_target = match publications.is_long_lived("a", now) {
             true => target("a", 2, 1),
             false => needs_few(2, 1),
         };
-        for order in plan(&pool, &[wanted], concurrent_changes(ENGINES, 2), now) {
+        for order in plan(&pool, &[model_target], concurrent_changes(ENGINES, 2), now) {
             let engine = pool.get_mut(&order.engine).expect("known");
             engine.has_order_in_flight = true;
-            changing.push((now + CHANGE, order.engine));
+            changing.push((now + CHANGE_TIME, order.engine));
         }
-        now += LOOK;
+        now += PLAN_INTERVAL;
     }
 }
 
 #[test]
-fn a_model_with_room_to_spare_brings_half_of_its_engines_to_each_version() {
+fn model_with_spare_slots_updates_half_its_engines() {
     let mut pool = pool(24);
     for version in 2..6 {
-        let spare = ModelTarget {
+        let half_newest = ModelTarget {
             newest_share: 0.5,
             ..target("a", version, version - 1)
         };
-        let orders = plan(&pool, &[spare], 24, BootInstant::now());
-        assert_eq!(orders.len(), 4, "half of eight, at version {version}");
+        let orders = plan(&pool, &[half_newest], 24, BootInstant::now());
+        assert_eq!(
+            orders.len(),
+            4,
+            "half of eight engines, at version {version}"
+        );
         for order in orders {
             let engine = pool.get_mut(&order.engine).expect("known");
             engine.record_version("a", order.version, "test");
@@ -179,17 +181,17 @@
 }
 
 #[test]
-fn engines_that_a_model_does_not_need_keep_the_version_that_they_have() {
+fn unneeded_engines_keep_their_version() {
     let pool = pool(300);
     let orders = plan(&pool, &[needs_few(4, 4)], 300, BootInstant::now());
-    assert_eq!(orders.len(), 10, "a tenth of a hundred");
+    assert_eq!(orders.len(), 10, "a tenth of 100 engines");
 }
 
 #[test]
-fn lost_engines_are_replaced_by_those_that_were_not_needed() {
+fn lost_engines_are_replaced_by_unneeded_ones() {
     let mut pool = pool(300);
-    let ids = of_model(&pool, "a");
-    use_version(&mut pool, &ids[..10], 4);
+    let ids = engines_of_model(&pool, "a");
+    set_version(&mut pool, &ids[..10], 4);
     for id in &ids[..3] {
         pool.get_mut(id).expect("known").record_loss();
     }
@@ -198,11 +200,11 @@
 }
 
 #[test]
-fn engines_that_are_not_needed_do_not_keep_the_others_from_newer_versions() {
+fn unneeded_engines_do_not_block_newer_versions() {
     let mut pool = pool(300);
-    let ids = of_model(&pool, "a");
-    use_version(&mut pool, &ids[..10], 3);
+    let ids = engines_of_model(&pool, "a");
+    set_version(&mut pool, &ids[..10], 3);
     let orders = plan(&pool, &[needs_few(4, 3)], 300, BootInstant::now());
-    assert_eq!(orders.len(), 5, "half of the ten that are ready");
+    assert_eq!(orders.len(), 5, "half of the ten ready engines");
     assert!(orders.iter().all(|order| ids[..10].contains(&order.engine)));
 }
--- a/crates/sloetrail-serving/src/owner/publications/tests.rs
+++ b/crates/sloetrail-serving/src/owner/publications/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_first_version_stays_once_it_has_lasted() {
+fn first_version_becomes_long_lived_with_age() {
     let began = BootInstant::now();
     let mut publications = Publications::default();
     assert!(
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_version_after_one_that_lasted_long_stays_from_the_beginning() {
+fn successor_of_long_lived_version_is_long_lived() {
     let began = BootInstant::now();
     let mut publications = Publications::default();
     publications.record("a", WeightVersion(2), began);
@@ -30,12 +30,12 @@
     publications.record("a", WeightVersion(4), began + seconds(244));
     assert!(
         !publications.is_long_lived("a", began + seconds(249)),
-        "they follow one another now"
+        "versions are frequent now"
     );
 }
 
 #[test]
-fn versions_that_follow_one_another_stay_only_once_no_other_comes() {
+fn frequent_versions_become_long_lived_once_they_stop() {
     let began = BootInstant::now();
     let mut publications = Publications::default();
     for version in 0..5 {
--- a/crates/sloetrail-serving/src/owner/sweeper/tests.rs
+++ b/crates/sloetrail-serving/src/owner/sweeper/tests.rs
@@ -1,4 +1,4 @@
-use super::{BATCHES_A_ROUND, past_their_time};
+use super::{MAX_BATCHES_PER_SWEEP, expired_batches};
 use crate::batch_rows::encode_header;
 use crate::directory_index::KeyRanges;
 use crate::follow::TableView;
@@ -8,13 +8,13 @@
 use sloetrail_batch::BatchHeader;
 use sloetrail_types::{AllowedRegions, RegionName, RowVersion, ServiceName, WeightVersion};
 
-const KEPT_MS: u64 = 10_000;
+const MIN_RETENTION_MS: u64 = 10_000;
 
 fn north() -> AllowedRegions {
     AllowedRegions::only([RegionName::from("north")])
 }
 
-fn head(service: &str, allowed_regions: AllowedRegions) -> BatchHeader {
+fn header(service: &str, allowed_regions: AllowedRegions) -> BatchHeader {
     BatchHeader {
         service: ServiceName::from(service),
         host: "a.example".to_owned(),
@@ -34,11 +34,11 @@
     }
 }
 
-fn view(heads: &[(&str, BatchHeader)]) -> TableView {
-    let rows = heads.iter().map(|(id, head)| {
+fn view(headers: &[(&str, BatchHeader)]) -> TableView {
+    let rows = headers.iter().map(|(id, header)| {
         let row = Row {
             address: rows::batch(id),
-            value: encode_header(head),
+            value: encode_header(header),
             version: RowVersion(1),
         };
         ((*id).to_owned(), row)
@@ -54,30 +54,37 @@
 }
 
 #[test]
-fn each_owner_deletes_the_batches_of_its_own_set_alone() {
+fn owner_deletes_only_batches_of_its_set() {
     let batches = view(&[
-        ("free", head("models", AllowedRegions::everywhere())),
-        ("bound", head("models", north())),
-        ("other-service", head("others", north())),
+        ("free", header("models", AllowedRegions::everywhere())),
+        ("bound", header("models", north())),
+        ("other-service", header("others", north())),
     ]);
     let swept = |regions: AllowedRegions, now_ms: u64| {
         let set = BatchSet::new(ServiceName::from("models"), regions);
-        let ids = past_their_time(&batches, &set, now_ms, KEPT_MS);
+        let ids = expired_batches(&batches, &set, now_ms, MIN_RETENTION_MS);
         ids.into_iter().cloned().collect::<Vec<String>>()
     };
-    // A minute is kept on top for readers.
-    let late = 1_000 + 60_001;
-    assert_eq!(swept(AllowedRegions::everywhere(), late), ["free"]);
-    assert_eq!(swept(north(), late), ["bound"]);
-    assert!(swept(north(), 1_000 + KEPT_MS).is_empty(), "not yet");
+    // Batches are retained for an additional minute.
+    let expired_at_ms = 1_000 + 60_001;
+    assert_eq!(swept(AllowedRegions::everywhere(), expired_at_ms), ["free"]);
+    assert_eq!(swept(north(), expired_at_ms), ["bound"]);
+    assert!(
+        swept(north(), 1_000 + MIN_RETENTION_MS).is_empty(),
+        "not yet"
+    );
 }
 
 #[test]
-fn a_round_is_small() {
-    let many: Vec<String> = (0..BATCHES_A_ROUND * 2).map(|id| id.to_string()).collect();
-    let heads = many.iter().map(|id| (id.as_str(), head("models", north())));
-    let batches = view(&heads.collect::<Vec<_>>());
+fn sweep_is_limited_to_few_batches() {
+    let many: Vec<String> = (0..MAX_BATCHES_PER_SWEEP * 2)
+        .map(|id| id.to_string())
+        .collect();
+    let headers = many
+        .iter()
+        .map(|id| (id.as_str(), header("models", north())));
+    let batches = view(&headers.collect::<Vec<_>>());
     let set = BatchSet::new(ServiceName::from("models"), north());
-    let swept = past_their_time(&batches, &set, u64::MAX, KEPT_MS);
-    assert_eq!(swept.len(), BATCHES_A_ROUND);
+    let swept = expired_batches(&batches, &set, u64::MAX, MIN_RETENTION_MS);
+    assert_eq!(swept.len(), MAX_BATCHES_PER_SWEEP);
 }
--- a/crates/sloetrail-serving/tests/owner.rs
+++ b/crates/sloetrail-serving/tests/owner.rs
@@ -1,4 +1,4 @@
-//! Owners replaced: killed, stopped, cut off from the table, twice in a row.
+//! Replacement of owners that are killed, stopped or cut off from the table.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use support::{assert_each_once, items, lease, lease_holder, native_cluster, usual_cluster};
 
-/// As the cluster's nodes are set up.
+/// Must match the settings of the cluster's nodes.
 const ORDER_GAP: Duration = Duration::from_millis(800);
 
 fn orders(cluster: &Cluster) -> Vec<OrderRecord> {
@@ -23,8 +23,9 @@
     orders
 }
 
-/// Asserts that orders of two holders lie apart and that fences never fall.
-fn assert_no_turns(orders: &[OrderRecord]) {
+/// Asserts that orders of different holders are at least `ORDER_GAP` apart and that fences never
+/// decrease.
+fn assert_owners_do_not_overlap(orders: &[OrderRecord]) {
     for pair in orders.windows(2) {
         let [first, second] = pair else {
             continue;
@@ -38,7 +39,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_that_is_killed_is_replaced_and_texts_go_on() {
+async fn killed_owner_is_replaced_and_texts_continue() {
     let mut cluster = usual_cluster(Duration::from_millis(30)).await;
     let owner = lease_holder(&cluster).await;
     let other = 1 - owner;
@@ -46,21 +47,21 @@
         .submit(other, "b1", &batch(&items(10, 60), MODEL, 1))
         .await
         .expect("taken");
-    let is_kept = || async {
-        let kept = cluster.table.rows("sloetrail_checkpoints");
-        (kept.len() >= 10).then_some(())
+    let is_checkpointed = || async {
+        let checkpoints = cluster.table.rows("sloetrail_checkpoints");
+        (checkpoints.len() >= 10).then_some(())
     };
-    eventually("the texts are kept", is_kept).await;
+    eventually("the texts are checkpointed", is_checkpointed).await;
     cluster.nodes[owner].kill();
     let results = cluster.wait_results(other, "b1", 10).await;
     assert_each_once(&results, 10);
     let runs = cluster.engines.iter().flat_map(|engine| engine.runs());
     let continued = runs.filter(|run| run.last_event.is_some()).count();
-    assert!(continued >= 8, "{continued} of 10 texts went on");
+    assert!(continued >= 8, "{continued} of 10 texts continued");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn items_go_on_while_the_table_takes_its_time_over_an_order_window() {
+async fn items_run_while_order_window_commit_is_slow() {
     const ANSWER: Duration = Duration::from_secs(3);
     let cluster = usual_cluster(Duration::from_millis(5)).await;
     lease_holder(&cluster).await;
@@ -69,8 +70,8 @@
         .table
         .set_commit_fault_on("sloetrail_order_windows", fault, 1);
     cluster.publish(2);
-    let is_asked = || async { (cluster.table.faults_left() == Some(0)).then_some(()) };
-    eventually("a window is asked for", is_asked).await;
+    let is_requested = || async { (cluster.table.faults_left() == Some(0)).then_some(()) };
+    eventually("an order window is requested", is_requested).await;
     let watch = Stopwatch::start();
     cluster
         .submit(0, "b1", &batch(&items(40, 5), MODEL, 1))
@@ -82,7 +83,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn orders_are_given_while_the_table_is_slow() {
+async fn orders_are_sent_while_the_table_is_slow() {
     let cluster = usual_cluster(Duration::from_millis(5)).await;
     lease_holder(&cluster).await;
     let fault = CommitFault::Slow(Duration::from_millis(700));
@@ -99,7 +100,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn items_that_are_started_without_a_confirmed_lease_give_way() {
+async fn items_without_confirmed_lease_have_lowest_priority() {
     let mut cluster = native_cluster();
     cluster.add_application("zone-a").await;
     let engine = cluster.add_engine(Duration::from_millis(20)).await;
@@ -112,15 +113,15 @@
     let runs = || async { (!engine.runs().is_empty()).then_some(()) };
     eventually("the items run", runs).await;
     cluster.nodes[node].link.set_cut(true);
-    let all_began = || async { (engine.runs().len() >= 60).then_some(()) };
-    eventually("every item has begun", all_began).await;
-    let ranks: Vec<Option<u64>> = engine.runs().iter().map(|run| run.priority).collect();
-    assert_eq!(ranks[0], Some(5), "the lease was confirmed");
-    assert_eq!(ranks[59], Some(9), "the lease had run out");
+    let all_started = || async { (engine.runs().len() >= 60).then_some(()) };
+    eventually("every item has started", all_started).await;
+    let priorities: Vec<Option<u64>> = engine.runs().iter().map(|run| run.priority).collect();
+    assert_eq!(priorities[0], Some(5), "the lease was confirmed");
+    assert_eq!(priorities[59], Some(9), "the lease was no longer confirmed");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_machine_takes_over_before_a_small_one() {
+async fn larger_node_takes_over_the_lease_first() {
     let mut cluster = usual_cluster(Duration::from_millis(20)).await;
     let first = lease_holder(&cluster).await;
     let other = 1 - first;
@@ -141,7 +142,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_that_stops_hands_over_at_once() {
+async fn stopping_owner_hands_over_within_a_second() {
     let mut cluster = usual_cluster(Duration::from_millis(30)).await;
     let owner = lease_holder(&cluster).await;
     let other = 1 - owner;
@@ -165,13 +166,13 @@
         let runs = cluster.engines.iter().flat_map(|engine| engine.runs());
         (runs.filter(|run| run.last_event.is_some()).count() >= 10).then_some(())
     };
-    eventually("the texts go on", is_continued).await;
+    eventually("the texts continue", is_continued).await;
     assert!(watch.elapsed() < Duration::from_millis(1_000));
     assert_each_once(&cluster.wait_results(other, "b1", 10).await, 10);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_that_is_cut_off_from_the_table_commits_nothing_more() {
+async fn owner_cut_off_from_table_commits_nothing() {
     let mut cluster = usual_cluster(Duration::from_millis(20)).await;
     let owner = lease_holder(&cluster).await;
     let other = 1 - owner;
@@ -186,12 +187,15 @@
     cluster.nodes[owner].link.set_cut(false);
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     let later = cluster.wait_results(other, "b1", 20).await;
-    assert_eq!(later, results, "positions hold after the old owner is back");
+    assert_eq!(
+        later, results,
+        "positions are unchanged after the old owner is back"
+    );
     cluster.nodes[owner].stop();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn owners_killed_twice_in_a_row_lose_nothing() {
+async fn two_successive_owner_kills_lose_no_results() {
     let mut cluster = usual_cluster(Duration::from_millis(15)).await;
     let third = cluster.add_node("node-3").await;
     cluster.wait_ready(third).await;
@@ -209,19 +213,19 @@
     };
     let second = eventually("another node owns", changed).await;
     cluster.nodes[second].kill();
-    let left = (0..3)
+    let remaining = (0..3)
         .find(|node| *node != first && *node != second)
-        .expect("one is left");
-    assert_each_once(&cluster.wait_results(left, "b1", 30).await, 30);
+        .expect("one node is left");
+    assert_each_once(&cluster.wait_results(remaining, "b1", 30).await, 30);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn orders_of_two_owners_lie_apart() {
+async fn orders_of_successive_owners_are_separated() {
     let mut cluster = usual_cluster(Duration::from_millis(10)).await;
     let owner = lease_holder(&cluster).await;
     cluster.publish(2);
     let is_ordered = || async { (!orders(&cluster).is_empty()).then_some(()) };
-    eventually("an order is given", is_ordered).await;
+    eventually("an order is sent", is_ordered).await;
     cluster.nodes[owner].kill();
     cluster.publish(3);
     let in_force = || async {
@@ -239,11 +243,11 @@
             .iter()
             .any(|record| record.order.holder != orders[0].order.holder)
     );
-    assert_no_turns(&orders);
+    assert_owners_do_not_overlap(&orders);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn orders_that_are_carried_out_late_do_not_bring_an_old_version_back() {
+async fn late_orders_do_not_restore_an_old_version() {
     let cluster = usual_cluster(Duration::from_millis(10)).await;
     for engine in &cluster.engines {
         engine.set_fault(
@@ -257,13 +261,13 @@
         .iter()
         .filter(|engine| engine.service == "models")
         .collect();
-    let are_taken = || async {
-        let taken = engines
+    let are_received = || async {
+        let received = engines
             .iter()
             .all(|engine| !engine.late_orders().is_empty());
-        taken.then_some(())
+        received.then_some(())
     };
-    eventually("the orders for version 2 are on their way", are_taken).await;
+    eventually("the orders for version 2 are received", are_received).await;
     cluster.publish(3);
     let in_force = || async {
         let versions: Vec<u64> = engines.iter().map(|engine| engine.version(MODEL)).collect();
@@ -274,12 +278,12 @@
     assert!(late.map(|order| order.version).all(|version| version == 2));
     for _ in 0..220 {
         tokio::time::sleep(Duration::from_millis(10)).await;
-        assert!(in_force().await.is_some(), "a late order was carried out");
+        assert!(in_force().await.is_some(), "a late order was executed");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_commit_that_arrives_after_the_next_owner_took_over_changes_nothing() {
+async fn late_commit_of_previous_owner_changes_nothing() {
     const LATE: Duration = Duration::from_millis(2_500);
     let mut cluster = usual_cluster(Duration::from_millis(4)).await;
     let owner = lease_holder(&cluster).await;
@@ -291,10 +295,10 @@
         .submit(other, "b1", &batch(&items(12, 10), MODEL, 1))
         .await
         .expect("taken");
-    let is_on_its_way = || async { (cluster.table.faults_left() == Some(0)).then_some(()) };
-    eventually("a commit is on its way", is_on_its_way).await;
+    let is_in_flight = || async { (cluster.table.faults_left() == Some(0)).then_some(()) };
+    eventually("a commit is in flight", is_in_flight).await;
     cluster.nodes[owner].kill();
-    // The next owner's results differ from those that are still on their way.
+    // The next owner's results differ from those still in flight.
     for engine in &cluster.engines {
         engine.force_version(MODEL, 2);
     }
@@ -302,11 +306,11 @@
     assert_each_once(&results, 12);
     tokio::time::sleep(LATE).await;
     let later = cluster.wait_results(other, "b1", 12).await;
-    assert_eq!(later, results, "the late commit was fenced off");
+    assert_eq!(later, results, "the late commit was refused by the fence");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_table_that_holds_every_call_for_a_while_costs_no_owner_its_lease() {
+async fn delayed_table_calls_do_not_cost_the_lease() {
     let cluster = usual_cluster(Duration::from_millis(10)).await;
     let owner = lease_holder(&cluster).await;
     let lease = || {
@@ -321,17 +325,21 @@
         node.link.set_held(true);
     }
     tokio::time::sleep(Duration::from_millis(3_000)).await;
-    // The other node hears the table again a little before the owner can renew.
+    // The other node reaches the table again shortly before the owner can renew.
     cluster.nodes[1 - owner].link.set_held(false);
     tokio::time::sleep(Duration::from_millis(250)).await;
     cluster.nodes[owner].link.set_held(false);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    assert_eq!(lease(), before, "nobody took over from a sound owner");
+    assert_eq!(
+        lease(),
+        before,
+        "the lease of a healthy owner was taken over"
+    );
     assert_eq!(lease_holder(&cluster).await, owner);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_stays_while_the_table_takes_no_writes_but_answers_reads() {
+async fn owner_keeps_lease_while_table_refuses_writes() {
     let cluster = usual_cluster(Duration::from_millis(10)).await;
     let owner = lease_holder(&cluster).await;
     let epoch = lease(&cluster).expect("a lease")["epoch"].clone();
@@ -339,7 +347,7 @@
     cluster
         .table
         .set_commit_fault_on("sloetrail_leases", fault, usize::MAX);
-    // Several times as long as a lease lasts.
+    // Several times the duration of a lease.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     cluster.table.set_commit_fault(CommitFault::None, None);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
@@ -347,11 +355,11 @@
     assert_eq!(lease(&cluster).expect("a lease")["epoch"], epoch);
 }
 
-/// Earlier owners are fenced off from a batch that is accepted within the term. Looking for
-/// what they wrote costs two answers of the table before its first item starts.
+/// Guards against two unnecessary table reads before the first item of a batch starts: earlier
+/// owners cannot have written to a batch that was accepted within the current term.
 #[tokio::test(flavor = "multi_thread")]
-async fn only_a_batch_of_an_earlier_term_is_searched_for_earlier_work() {
-    const TEXTS: &str = "sloetrail_checkpoints";
+async fn checkpoints_are_only_read_for_earlier_terms() {
+    const CHECKPOINTS: &str = "sloetrail_checkpoints";
     let mut cluster = usual_cluster(Duration::from_millis(30)).await;
     let owner = lease_holder(&cluster).await;
     let work = batch(&items(4, 20), MODEL, 1);
@@ -361,26 +369,26 @@
         (!results.is_empty()).then_some(())
     };
     eventually("an item is done", first_result).await;
-    let searches = |node: usize| cluster.nodes[node].link.uses_of(TEXTS).reads;
-    assert_eq!(searches(owner), 0);
+    let checkpoint_reads = |node: usize| cluster.nodes[node].link.uses_of(CHECKPOINTS).reads;
+    assert_eq!(checkpoint_reads(owner), 0);
     let work = batch(&items(4, 60), MODEL, 1);
     cluster.submit(owner, "b2", &work).await.expect("taken");
-    let is_kept = || async { (!cluster.table.rows(TEXTS).is_empty()).then_some(()) };
-    eventually("a text is kept", is_kept).await;
-    assert_eq!(searches(owner), 0);
+    let is_checkpointed = || async { (!cluster.table.rows(CHECKPOINTS).is_empty()).then_some(()) };
+    eventually("a text is checkpointed", is_checkpointed).await;
+    assert_eq!(checkpoint_reads(owner), 0);
     cluster.nodes[owner].kill();
     let results = cluster.wait_results(1 - owner, "b2", 4).await;
     assert_each_once(&results, 4);
-    let searches = cluster.nodes[1 - owner].link.uses_of(TEXTS).reads;
-    assert!(searches >= 1);
+    let checkpoint_reads = cluster.nodes[1 - owner].link.uses_of(CHECKPOINTS).reads;
+    assert!(checkpoint_reads >= 1);
 }
 
-/// An item that fails on each run was sent `max_attempts` times by each of its owners: what a
-/// route allows was counted in the memory of one of them.
+/// Guards against counting failed runs in memory only, which allows `max_attempts` runs for each
+/// successive owner.
 #[tokio::test(flavor = "multi_thread")]
-async fn failed_runs_are_counted_over_all_owners() {
+async fn failed_runs_count_across_owners() {
     let mut cluster = native_cluster();
-    // A run that does not fail at once takes longer than the owner lives.
+    // A run that does not fail at once outlasts its owner.
     let engine = cluster.add_engine(Duration::from_secs(5)).await;
     for name in ["node-1", "node-2"] {
         let node = cluster.add_node(name).await;
@@ -394,11 +402,11 @@
     let has_failed_twice = || async {
         let rows = cluster.table.rows("sloetrail_checkpoints");
         let count = rows.iter().find(|row| row.address.key.ends_with("/failed"));
-        let is_kept = count.is_some_and(|row| row.value == "2");
-        (is_kept && engine.runs().len() == 3).then_some(())
+        let is_stored = count.is_some_and(|row| row.value == "2");
+        (is_stored && engine.runs().len() == 3).then_some(())
     };
     eventually(
-        "two failures are kept and the third run is under way",
+        "two failures are stored and the third run is in flight",
         has_failed_twice,
     )
     .await;
@@ -407,5 +415,5 @@
     let results = cluster.wait_results(other, "b1", 1).await;
     assert_eq!(results[0]["state"], "dead");
     let failed = engine.runs().len() - 1;
-    assert_eq!(failed, 3, "failed runs of both owners together");
+    assert_eq!(failed, 3, "failed runs of both owners");
 }
