--- a/crates/sloetrail-serving/src/gateway/claims/sweep.rs
+++ b/crates/sloetrail-serving/src/gateway/claims/sweep.rs
@@ -4,7 +4,7 @@
 //! answers of back ends that must not leave their regions.
 
 use crate::events::{self, Event};
-use crate::follow::{FleetSize, FleetScaledDuration};
+use crate::follow::{FleetScaledDuration, FleetSize};
 use crate::rows;
 use crate::table::{Commit, Row, Table, Transaction};
 use std::sync::Arc;
--- a/crates/sloetrail-serving/src/operator.rs
+++ b/crates/sloetrail-serving/src/operator.rs
@@ -4,7 +4,7 @@
 
 use crate::dialect::Dialect;
 use crate::events::{self, Event};
-use crate::follow::{TableView, LastApplied, ViewReceiver};
+use crate::follow::{LastApplied, TableView, ViewReceiver};
 use sloetrail_clock::BootInstant;
 use sloetrail_routing::ServingConfiguration;
 use sloetrail_types::{RowVersion, WeightVersion, ZoneName};
--- a/crates/sloetrail-serving/src/owner/mod.rs
+++ b/crates/sloetrail-serving/src/owner/mod.rs
@@ -17,7 +17,7 @@
 mod event;
 mod item_timeline;
 mod loading;
-mod pace;
+mod order_task;
 mod place_demand;
 mod place_usage;
 mod publications;
@@ -27,7 +27,6 @@
 mod run;
 mod service_owner;
 mod sweeper;
-mod weights;
 
 use self::service_owner::ServiceOwner;
 use crate::context::NodeContext;
--- a/crates/sloetrail-serving/src/owner/publications/tests.rs
+++ b/crates/sloetrail-serving/src/owner/publications/tests.rs
@@ -8,37 +8,40 @@
 }
 
 #[test]
-fn a_first_version_stays_once_it_has_lasted() {
+fn first_version_becomes_long_lived_with_age() {
     let began = BootInstant::now();
     let mut publications = Publications::default();
-    assert!(!publications.is_long_lived("a", began), "nothing is published");
-    publications.note("a", WeightVersion(2), began);
+    assert!(
+        !publications.is_long_lived("a", began),
+        "nothing is published"
+    );
+    publications.record("a", WeightVersion(2), began);
     assert!(!publications.is_long_lived("a", began + seconds(4)));
     assert!(publications.is_long_lived("a", began + seconds(5)));
 }
 
 #[test]
-fn a_version_after_one_that_lasted_long_stays_from_the_beginning() {
+fn successor_of_long_lived_version_is_long_lived() {
     let began = BootInstant::now();
     let mut publications = Publications::default();
-    publications.note("a", WeightVersion(2), began);
-    publications.note("a", WeightVersion(3), began + seconds(240));
+    publications.record("a", WeightVersion(2), began);
+    publications.record("a", WeightVersion(3), began + seconds(240));
     assert!(publications.is_long_lived("a", began + seconds(240)));
-    publications.note("a", WeightVersion(4), began + seconds(244));
+    publications.record("a", WeightVersion(4), began + seconds(244));
     assert!(
         !publications.is_long_lived("a", began + seconds(249)),
-        "they follow one another now"
+        "versions are frequent now"
     );
 }
 
 #[test]
-fn versions_that_follow_one_another_stay_only_once_no_other_comes() {
+fn frequent_versions_become_long_lived_once_they_stop() {
     let began = BootInstant::now();
     let mut publications = Publications::default();
     for version in 0..5 {
         let at = began + seconds(version * 4);
-        publications.note("a", WeightVersion(version + 2), at);
-        publications.note("a", WeightVersion(version + 2), at + seconds(1));
+        publications.record("a", WeightVersion(version + 2), at);
+        publications.record("a", WeightVersion(version + 2), at + seconds(1));
     }
     let last = began + seconds(16);
     assert!(!publications.is_long_lived("a", last + seconds(14)));
--- a/crates/sloetrail-serving/src/owner/service_owner.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner.rs
@@ -91,7 +91,7 @@
         let runs = &self.runs;
         let made = |index| {
             let run: Option<&ActiveRun> = runs.get(&index);
-            run.map_or(0, |run| run.progress.events())
+            run.map_or(0, |run| run.progress.event_count())
         };
         self.estimate = self.batch.outlook(lengths, self.age(), made);
     }
@@ -414,7 +414,9 @@
         }
         let engines = &self.engines;
         let is_plentiful = |(model, items): (&Option<String>, &usize)| {
-            let slots = model.as_deref().map_or(0, |model| engines.slots_for_model(model));
+            let slots = model
+                .as_deref()
+                .map_or(0, |model| engines.slots_for_model(model));
             (model.clone(), items * MIN_PLENTIFUL_SLOTS_PER_ITEM <= slots)
         };
         let plentiful: BTreeMap<Option<String>, bool> = items.iter().map(is_plentiful).collect();
--- a/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
@@ -115,7 +115,7 @@
         if !open.batch.start(index) {
             return false;
         }
-        engine.started();
+        engine.record_start();
         let item = open.batch.item(index);
         let run = ActiveRun {
             engine: engine_id.clone(),
--- a/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
@@ -42,7 +42,8 @@
 
     /// Expected time saved by continuing on `engine`. None if it is not clearly faster.
     fn gain_on(&self, engine: &FreeEngine) -> Option<Duration> {
-        let is_clearly_faster = self.event_interval_us as f64 > engine.pace as f64 * SIMILAR_INTERVAL_FACTOR;
+        let is_clearly_faster =
+            self.event_interval_us as f64 > engine.pace as f64 * SIMILAR_INTERVAL_FACTOR;
         let saved = self.event_interval_us.saturating_sub(engine.pace) as f64 * self.remaining;
         is_clearly_faster.then(|| Duration::from_micros(saved as u64))
     }
--- a/crates/sloetrail-serving/src/owner/service_owner/results.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/results.rs
@@ -52,7 +52,7 @@
             item: &open.batch.item(index).submitted.id,
             batch: id,
             back_end: engine.as_str(),
-            outcome: outcome.word(),
+            outcome: outcome.as_str(),
             events: transcript.len(),
             took_ms: took.as_millis() as u64,
         });
@@ -70,7 +70,7 @@
             open.checkpointed_events.remove(&index);
         }
         if failure == RunFailure::Failed && death.is_none() {
-            let request = CommitRequest::Failed {
+            let request = CommitRequest::RecordFailedRuns {
                 batch: id.clone(),
                 index,
                 failed_runs: open.batch.failed_runs(index),
@@ -94,13 +94,15 @@
         };
         engine.running = engine.running.saturating_sub(1);
         match outcome {
-            RunOutcome::NotRun | RunOutcome::WrongVersion => engine.refused(),
+            RunOutcome::NotRun | RunOutcome::WrongVersion => engine.record_refusal(),
             RunOutcome::WrongInstance
             | RunOutcome::NotSent
             | RunOutcome::Lost
-            | RunOutcome::Silent => engine.lost(),
-            RunOutcome::Whole | RunOutcome::Failed | RunOutcome::Impossible => engine.finished(),
-            RunOutcome::HeldBack | RunOutcome::Cancelled => {}
+            | RunOutcome::Unresponsive => engine.record_loss(),
+            RunOutcome::Completed | RunOutcome::Failed | RunOutcome::Impossible => {
+                engine.record_completion()
+            }
+            RunOutcome::Withheld | RunOutcome::Cancelled => {}
         }
     }
 
--- a/crates/sloetrail-serving/src/owner/service_owner/versions.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/versions.rs
@@ -7,7 +7,6 @@
 use crate::owner::engine::VersionChangeInFlight;
 use crate::owner::event::{OwnerEvent, WeightOrderOutcome};
 use crate::owner::rollout_plan::{ModelTarget, concurrent_changes, plan};
-use crate::owner::weights::OrderTask;
 use sloetrail_batch::{Batch, BatchHeader};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::WeightVersion;
--- a/crates/sloetrail-serving/src/relay/peers.rs
+++ b/crates/sloetrail-serving/src/relay/peers.rs
@@ -4,7 +4,7 @@
     CALLS_PATH, MESSAGE_VERSION, RelayScope, RelayedCall, TableAnswer, TableCall, decode, encode,
 };
 use crate::events::{self, Event};
-use crate::follow::{PollTiming, FleetScaledDuration, ViewReceiver, follow};
+use crate::follow::{FleetScaledDuration, PollTiming, ViewReceiver, follow};
 use crate::http::{ConnectionPool, Exchange, Reuse, SendFailure, WholeBody};
 use crate::rows;
 use crate::settings::ServingSettings;
--- a/crates/sloetrail-serving/src/slot_waiter.rs
+++ b/crates/sloetrail-serving/src/slot_waiter.rs
@@ -1,6 +1,6 @@
 //! Waiting for a slot at a back end, in the order of the service's queue.
 
-use crate::service_pools::{SlotPermit, ServicePools};
+use crate::service_pools::{ServicePools, SlotPermit};
 use sloetrail_balance::{SlotQueue, SlotRequest, SlotTicket, WorkTenant};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::{AllowedRegions, EngineId, ServiceName, Timestamp};
