--- a/crates/sloetrail-serving/src/owner/batch_scheduler.rs
+++ b/crates/sloetrail-serving/src/owner/batch_scheduler.rs
@@ -80,7 +80,7 @@
     let firsts = queues
         .iter()
         .filter_map(|(tenant, tenant_queue)| Some((tenant, tenant_queue.front()?)));
-    let next = firsts.min_by_key(|(tenant, first)| (shares.turn(tenant), *first));
+    let next = firsts.min_by_key(|(tenant, first)| (shares.order_of(tenant), *first));
     next.map(|(tenant, first)| (tenant, &first.id))
 }
 
--- a/crates/sloetrail-serving/src/owner/engine_sends.rs
+++ b/crates/sloetrail-serving/src/owner/engine_sends.rs
@@ -35,7 +35,7 @@
     }
 
     pub(super) fn record(&self, now: BootInstant) {
-        self.window().note(self.timestamp(now));
+        self.window().record(self.timestamp(now));
     }
 
     /// Records a send if the bound allows it. Returns false if the send must not be made.
--- a/crates/sloetrail-serving/src/owner/mod.rs
+++ b/crates/sloetrail-serving/src/owner/mod.rs
@@ -5,7 +5,7 @@
 //! [`service_owner::ServiceOwner`]. It loads open batches from the table, sends items to engines
 //! ([`run`]), has complete texts scored ([`reward_queue`], [`reward`]), commits results in
 //! groups ([`committer`]) and brings engines to the published weight versions ([`rollout_plan`],
-//! [`weights`]). Only the owner of unbound batches sends orders to engines; the other owners
+//! [`order_task`]). Only the owner of unbound batches sends orders to engines; the other owners
 //! report their slot demand to it ([`place_demand`]).
 
 mod assignment;
@@ -15,6 +15,7 @@
 mod engine_sends;
 mod engines;
 mod event;
+mod event_interval;
 mod item_timeline;
 mod loading;
 mod order_task;
--- a/crates/sloetrail-serving/src/owner/run.rs
+++ b/crates/sloetrail-serving/src/owner/run.rs
@@ -380,8 +380,8 @@
         AttemptResult::NotRun => RunOutcome::NotRun,
         AttemptResult::WrongInstance => RunOutcome::WrongInstance,
         AttemptResult::NotSent => RunOutcome::NotSent,
-        AttemptResult::HeldBack => RunOutcome::Withheld,
-        AttemptResult::OutOfTime => RunOutcome::Unresponsive,
+        AttemptResult::Withheld => RunOutcome::Withheld,
+        AttemptResult::TimedOut => RunOutcome::Unresponsive,
         AttemptResult::RanAndFailed(_) => RunOutcome::Failed,
         AttemptResult::Answered(_) | AttemptResult::Lost | AttemptResult::TooLarge => {
             RunOutcome::Lost
--- a/crates/sloetrail-serving/src/owner/service_owner.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner.rs
@@ -169,7 +169,10 @@
         Self {
             committing: tokio::spawn(committing),
             checkpointed_at: BootInstant::now(),
-            engines: EnginePool::within(context.settings.topology.clone(), set.regions().clone()),
+            engines: EnginePool::within_regions(
+                context.settings.topology.clone(),
+                set.regions().clone(),
+            ),
             context,
             service: set.service().clone(),
             set,
--- a/crates/sloetrail-serving/src/owner/service_owner/batches.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/batches.rs
@@ -109,7 +109,7 @@
         self.record_batch(&batch);
         let checkpointed_events = checkpointed_event_counts(&batch);
         self.reuse_leftover_texts(&mut batch);
-        let opened = CommitRequest::Open {
+        let opened = CommitRequest::OpenBatch {
             batch: id.clone(),
             next_position: listed,
         };
--- a/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
@@ -141,8 +141,8 @@
             priority,
             sends: engine.sends(),
             resend_bound: engine.resend_bound(),
-            passage,
-            pace: Arc::clone(&engine.pace),
+            quarantine_permit: passage,
+            event_interval: Arc::clone(&engine.event_interval),
             progress: Arc::clone(&run.progress),
             cancel: run.cancel.clone(),
         };
--- a/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
@@ -42,9 +42,12 @@
 
     /// Expected time saved by continuing on `engine`. None if it is not clearly faster.
     fn gain_on(&self, engine: &FreeEngine) -> Option<Duration> {
-        let is_clearly_faster =
-            self.event_interval_us as f64 > engine.pace as f64 * SIMILAR_INTERVAL_FACTOR;
-        let saved = self.event_interval_us.saturating_sub(engine.pace) as f64 * self.remaining;
+        let is_clearly_faster = self.event_interval_us as f64
+            > engine.event_interval_us as f64 * SIMILAR_INTERVAL_FACTOR;
+        let saved = self
+            .event_interval_us
+            .saturating_sub(engine.event_interval_us) as f64
+            * self.remaining;
         is_clearly_faster.then(|| Duration::from_micros(saved as u64))
     }
 }
@@ -176,8 +179,8 @@
     if is_recent || run.cancel.is_cancelled() {
         return None;
     }
-    let event_interval_us = engines.get(&run.engine)?.pace.microseconds()?;
-    let made = run.progress.events();
+    let event_interval_us = engines.get(&run.engine)?.event_interval.microseconds()?;
+    let made = run.progress.event_count();
     let hint = batch.item(index).expected_length;
     let remaining = lengths.remaining_events(hint, made)?;
     Some(Candidate {
--- a/crates/sloetrail-serving/src/owner/service_owner/results.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/results.rs
@@ -22,7 +22,7 @@
         (outcome, transcript): (RunOutcome, Transcript),
         took: Duration,
     ) {
-        telemetry::run_ended(self.service.as_str(), outcome.word(), took);
+        telemetry::run_ended(self.service.as_str(), outcome.as_str(), took);
         self.update_engine_after_run(engine, outcome);
         let Some(open) = self.batches.get_mut(id) else {
             return;
@@ -39,7 +39,7 @@
                 .insert(index, run.checkpointed_events);
             move_target = run.move_target;
         }
-        if outcome == RunOutcome::Whole {
+        if outcome == RunOutcome::Completed {
             let hint = open.batch.item(index).expected_length;
             self.lengths.note(hint, transcript.len());
             self.engines.release_slot(move_target.as_ref());
@@ -139,7 +139,7 @@
     }
 
     fn list_result(&self, id: &BatchId, index: ItemIndex, result: ListedResult) {
-        let request = CommitRequest::List {
+        let request = CommitRequest::ListResult {
             batch: id.clone(),
             index,
             result,
--- a/crates/sloetrail-serving/src/owner/service_owner/texts.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/texts.rs
@@ -25,7 +25,7 @@
                     events,
                 };
                 run.checkpointed_events += checkpoint.events.len();
-                let request = CommitRequest::Keep {
+                let request = CommitRequest::SaveCheckpoint {
                     batch: id.clone(),
                     checkpoint,
                 };
--- a/crates/sloetrail-serving/src/owner/service_owner/versions.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/versions.rs
@@ -6,6 +6,7 @@
 use crate::owner::assignment::ModelShare;
 use crate::owner::engine::VersionChangeInFlight;
 use crate::owner::event::{OwnerEvent, WeightOrderOutcome};
+use crate::owner::order_task::OrderTask;
 use crate::owner::rollout_plan::{ModelTarget, concurrent_changes, plan};
 use sloetrail_batch::{Batch, BatchHeader};
 use sloetrail_clock::BootInstant;
@@ -110,7 +111,7 @@
 
     fn model_target(&mut self, model: String, published: WeightVersion) -> ModelTarget {
         let now = BootInstant::now();
-        self.publications.note(&model, published, now);
+        self.publications.record(&model, published, now);
         let (ready_share, newest_share) = match self.publications.is_long_lived(&model, now) {
             true => (1.0, 1.0),
             false => (
--- a/crates/sloetrail-serving/src/service_pools.rs
+++ b/crates/sloetrail-serving/src/service_pools.rs
@@ -10,6 +10,7 @@
 use crate::operator::InForce;
 use crate::relay::peers::Peers;
 use crate::settings::ServingSettings;
+use crate::slot_waiter::{ServiceSlotQueue, SlotWaiter};
 use crate::subset_demand::SubsetDemand;
 use crate::zone_work::{RunningInZone, WorkKind, ZoneWork};
 use rand::SeedableRng;
@@ -164,7 +165,10 @@
         let shortest = backoffs.min().unwrap_or_default();
         Some(SlotWaitEstimate {
             backoff_remaining: (!shortest.is_zero()).then_some(shortest),
-            answer_time: state.answer_times.get(service).map(LatencyQuantile::time),
+            answer_time: state
+                .answer_times
+                .get(service)
+                .map(LatencyQuantile::estimate),
             running: balancer.in_flight(),
             requests_ahead: state.requests_ahead(waiter),
         })
@@ -216,7 +220,7 @@
             return None;
         };
         let directory_version = directory.version;
-        state.slot_queue(service).began(waiter);
+        state.slot_queue(service).record_start(waiter);
         Some(SlotPermit {
             _running: self.zone_work.begin(&back_end.zone, WorkKind::Live),
             pools: Arc::clone(self),
@@ -280,7 +284,7 @@
         if let Some(balancer) = state.balancers.get_mut(&back_end.service) {
             balancer.finish(now, &back_end.id, outcome);
         }
-        state.slot_queue(&back_end.service).ended(tenant);
+        state.slot_queue(&back_end.service).record_end(tenant);
         state.wake_first(&back_end.service, now);
     }
 
