--- a/crates/sloetrail-routing/src/configuration.rs
+++ b/crates/sloetrail-routing/src/configuration.rs
@@ -410,8 +410,8 @@
     let prices = raw.zone_prices.into_iter();
     let usable = prices.filter(|(_, price)| price.is_finite() && *price >= 0.0);
     ScalingBounds {
-        least: raw.min,
-        most: raw.max.max(raw.min),
+        min_per_zone: raw.min,
+        max_per_zone: raw.max.max(raw.min),
         boot_time: Duration::try_from_secs_f64(raw.boot_s).unwrap_or_default(),
         zone_prices: usable
             .map(|(zone, price)| (ZoneName::new(zone), price))
--- a/crates/sloetrail-routing/src/tests.rs
+++ b/crates/sloetrail-routing/src/tests.rs
@@ -164,12 +164,15 @@
     .expect("sound");
     let scaling = |service: &str| configuration.services[&service.into()].scaling.clone();
     let models = scaling("models").expect("given");
-    assert_eq!((models.least, models.most), (1, 24));
+    assert_eq!((models.min_per_zone, models.max_per_zone), (1, 24));
     assert_eq!(models.boot_time.as_secs(), 4);
     assert_eq!(models.zone_prices[&"b".into()], 1.2);
     assert_eq!(scaling("application"), None);
     let odd = scaling("odd").expect("given");
-    assert_eq!((odd.least, odd.most, odd.boot_time.as_secs()), (3, 3, 0));
+    assert_eq!(
+        (odd.min_per_zone, odd.max_per_zone, odd.boot_time.as_secs()),
+        (3, 3, 0)
+    );
     assert!(odd.zone_prices.is_empty());
 }
 
--- a/crates/sloetrail-scaling/src/lib.rs
+++ b/crates/sloetrail-scaling/src/lib.rs
@@ -1,7 +1,7 @@
 //! How many engines a service needs.
 //!
-//! The owner of a service tells a [`Scaler`] what its engines do ([`Scaler::note_load`])
-//! and how long steps take beside the time that they have ([`Scaler::note_step`]). From
+//! The owner of a service tells a [`Scaler`] what its engines do ([`Scaler::record_load`])
+//! and how long steps take beside the time that they have ([`Scaler::record_step`]). From
 //! time to time it asks whether another number of engines is wanted
 //! ([`Scaler::decide`]), which is then spread over the zones ([`spread`]).
 //!
@@ -19,8 +19,8 @@
 mod scaler;
 mod spread;
 
-pub use fleet::{BoundWork, BoundWorks, FleetScaler, ZoneNow, ZonesNow};
-pub use scaler::{EnginesNow, Scaler};
+pub use fleet::{BoundWork, BoundWorkByRegions, FleetScaler, ZoneLoad, ZoneLoads};
+pub use scaler::{Scaler, ServiceEngines};
 pub use spread::{ScalingBounds, spread};
 
 #[cfg(test)]
--- a/crates/sloetrail-scaling/src/scaler.rs
+++ b/crates/sloetrail-scaling/src/scaler.rs
@@ -8,35 +8,35 @@
 /// The part of the places that is busy on average when the number of engines is right.
 /// The rest is for the beginning of steps, when all of their items want places, for
 /// changes of weights and for engines that are lost or slow.
-const BUSY_GOAL: f64 = 0.5;
+const TARGET_UTILIZATION: f64 = 0.5;
 /// The load is averaged over so many periods of steps.
-const PERIODS_AVERAGED: u32 = 2;
-const HORIZON_LEAST: Duration = Duration::from_secs(8);
-const HORIZON_MOST: Duration = Duration::from_secs(300);
+const AVERAGED_PERIODS: u32 = 2;
+const MIN_HORIZON: Duration = Duration::from_secs(8);
+const MAX_HORIZON: Duration = Duration::from_secs(300);
 /// Weight of the last period in what is known of the period of steps.
 const PERIOD_SMOOTHING: f64 = 0.3;
 /// While a step took more than this part of its time lately, no engine is given back.
-const STEP_SHARE_HIGH: f64 = 0.85;
+const MAX_STEP_SHARE_FOR_SHRINK: f64 = 0.85;
 /// From this part of its time on a step was late, or almost: more engines are wanted.
-const STEP_SHARE_LATE: f64 = 0.97;
+const LATE_STEP_SHARE: f64 = 0.97;
 /// More engines help a late step only if those that there are were busy.
-const BUSY_FOR_LATE: f64 = 0.35;
-const GROWTH_FOR_LATE: f64 = 1.2;
+const MIN_UTILIZATION_FOR_LATE_STEP: f64 = 0.35;
+const LATE_STEP_GROWTH_FACTOR: f64 = 1.2;
 /// The number changes by at most this much at a time.
-const GROWTH_MOST: f64 = 1.5;
-const SHRINK_MOST: f64 = 0.8;
+const MAX_GROWTH_FACTOR: f64 = 1.5;
+const MIN_SHRINK_FACTOR: f64 = 0.8;
 /// A smaller number is wanted only if it is smaller by this part.
-const SHRINK_LEAST: f64 = 0.1;
+const MIN_REDUCTION_SHARE: f64 = 0.1;
 /// The least time between two changes, beside what new engines take to start.
-const CHANGE_PAUSE: Duration = Duration::from_secs(3);
+const MIN_CHANGE_INTERVAL: Duration = Duration::from_secs(3);
 
 /// The engines of a service now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EnginesNow {
+pub struct ServiceEngines {
     /// Engines that take work.
     pub engines: usize,
     /// Items that one of them runs at a time.
-    pub slots: usize,
+    pub slots_per_engine: usize,
     /// Zones that they are spread over.
     pub zones: usize,
 }
@@ -65,12 +65,12 @@
     last_batch_at: Option<Timestamp>,
     /// When the load that is noted was last not all.
     load_incomplete_at: Option<Timestamp>,
-    not_before: Timestamp,
+    next_change_at: Timestamp,
 }
 
 impl Scaler {
     /// A batch came, so long after the one before of the same model.
-    pub fn note_batch(&mut self, now: Timestamp, since_previous: Option<Duration>) {
+    pub fn record_batch(&mut self, now: Timestamp, since_previous: Option<Duration>) {
         self.first_batch_at.get_or_insert(now);
         self.last_batch_at = Some(now);
         if let Some(time) = since_previous {
@@ -81,7 +81,7 @@
     }
 
     /// Takes in how many items run; called at even times.
-    pub fn note_load(&mut self, now: Timestamp, running: usize) {
+    pub fn record_load(&mut self, now: Timestamp, running: usize) {
         let horizon = self.horizon();
         self.loads.push_back(LoadSample { at: now, running });
         while let Some(oldest) = self.loads.front()
@@ -99,12 +99,12 @@
     /// The load that is noted is not all: work is held up by something else than the number of
     /// engines, or others run work that is not counted. A load that is low for that reason
     /// does not tell how many engines are needed.
-    pub fn note_load_incomplete(&mut self, now: Timestamp) {
+    pub fn record_load_incomplete(&mut self, now: Timestamp) {
         self.load_incomplete_at = Some(now);
     }
 
     /// A step is whole, after this part of the time that it has.
-    pub fn note_step(&mut self, now: Timestamp, share: f64) {
+    pub fn record_step(&mut self, now: Timestamp, share: f64) {
         self.steps.push_back(StepSample { at: now, share });
     }
 
@@ -114,81 +114,81 @@
     pub fn decide(
         &mut self,
         now: Timestamp,
-        engines: EnginesNow,
+        engines: ServiceEngines,
         bounds: &ScalingBounds,
-        floor: usize,
+        baseline: usize,
     ) -> Option<usize> {
-        if !self.is_in_use(now) || now < self.not_before || engines.engines == 0 {
+        if !self.has_recent_batch(now) || now < self.next_change_at || engines.engines == 0 {
             return None;
         }
-        let wanted = self.wanted(now, engines);
-        let wanted = wanted.max(floor.min(engines.engines));
-        let wanted = within_bounds(wanted, engines, bounds);
-        if wanted == engines.engines {
+        let target = self.target(now, engines);
+        let target = target.max(baseline.min(engines.engines));
+        let target = within_bounds(target, engines, bounds);
+        if target == engines.engines {
             return None;
         }
-        let start = match wanted > engines.engines {
+        let boot_time = match target > engines.engines {
             true => bounds.boot_time,
             false => Duration::ZERO,
         };
-        self.not_before = now.after(CHANGE_PAUSE + start);
-        Some(wanted)
+        self.next_change_at = now.after(MIN_CHANGE_INTERVAL + boot_time);
+        Some(target)
     }
 
     /// The number of engines that the work needs now, without a pause after the last change;
     /// none for work that is over and where there is no engine to judge by.
-    pub(crate) fn needed(
+    pub(crate) fn required_engines(
         &self,
         now: Timestamp,
-        engines: EnginesNow,
+        engines: ServiceEngines,
         bounds: &ScalingBounds,
     ) -> usize {
-        if !self.is_in_use(now) || engines.engines == 0 {
+        if !self.has_recent_batch(now) || engines.engines == 0 {
             return 0;
         }
-        within_bounds(self.wanted(now, engines), engines, bounds)
+        within_bounds(self.target(now, engines), engines, bounds)
     }
 
     /// True if the last change may still be under way.
-    pub(crate) fn is_pausing(&self, now: Timestamp) -> bool {
-        now < self.not_before
+    pub(crate) fn is_cooling_down(&self, now: Timestamp) -> bool {
+        now < self.next_change_at
     }
 
     /// Engines were ordered without a decision of this scaler.
-    pub(crate) fn pause_for_growth(&mut self, now: Timestamp, bounds: &ScalingBounds) {
-        self.not_before = now.after(CHANGE_PAUSE + bounds.boot_time);
+    pub(crate) fn start_growth_cooldown(&mut self, now: Timestamp, bounds: &ScalingBounds) {
+        self.next_change_at = now.after(MIN_CHANGE_INTERVAL + bounds.boot_time);
     }
 
     /// Nothing is known of a service that has had no batch, or none for long.
-    pub(crate) fn is_in_use(&self, now: Timestamp) -> bool {
+    pub(crate) fn has_recent_batch(&self, now: Timestamp) -> bool {
         let last = self.last_batch_at;
         last.is_some_and(|at| now.since(at) <= self.horizon())
     }
 
-    fn wanted(&self, now: Timestamp, engines: EnginesNow) -> usize {
+    fn target(&self, now: Timestamp, engines: ServiceEngines) -> usize {
         let current = engines.engines;
-        let busy = self.mean_running() / (current * engines.slots.max(1)) as f64;
-        let for_load = (current as f64 * busy / BUSY_GOAL).ceil() as usize;
+        let utilization = self.mean_running() / (current * engines.slots_per_engine.max(1)) as f64;
+        let for_load = (current as f64 * utilization / TARGET_UTILIZATION).ceil() as usize;
         let worst_step = self.steps.iter().map(|step| step.share);
         let worst_step = worst_step.fold(0.0, f64::max);
-        if worst_step >= STEP_SHARE_LATE && busy >= BUSY_FOR_LATE {
-            let for_steps = (current as f64 * GROWTH_FOR_LATE).ceil() as usize;
-            return limited_growth(current, for_load.max(for_steps));
+        if worst_step >= LATE_STEP_SHARE && utilization >= MIN_UTILIZATION_FOR_LATE_STEP {
+            let for_steps = (current as f64 * LATE_STEP_GROWTH_FACTOR).ceil() as usize;
+            return limit_growth(current, for_load.max(for_steps));
         }
         if for_load > current {
-            return limited_growth(current, for_load);
+            return limit_growth(current, for_load);
         }
-        let is_enough_less = (for_load as f64) < current as f64 * (1.0 - SHRINK_LEAST);
-        let may_shrink = worst_step <= STEP_SHARE_HIGH && self.has_seen_enough(now);
-        match is_enough_less && may_shrink {
-            true => for_load.max((current as f64 * SHRINK_MOST).ceil() as usize),
+        let is_worth_shrinking = (for_load as f64) < current as f64 * (1.0 - MIN_REDUCTION_SHARE);
+        let may_shrink = worst_step <= MAX_STEP_SHARE_FOR_SHRINK && self.has_full_horizon(now);
+        match is_worth_shrinking && may_shrink {
+            true => for_load.max((current as f64 * MIN_SHRINK_FACTOR).ceil() as usize),
             false => current,
         }
     }
 
     /// True once the load was seen for a whole horizon, since the first batch and since
     /// the load was last not all.
-    fn has_seen_enough(&self, now: Timestamp) -> bool {
+    fn has_full_horizon(&self, now: Timestamp) -> bool {
         let since = self.first_batch_at.max(self.load_incomplete_at);
         let horizon = self.horizon();
         since.is_some_and(|at| now.since(at) >= horizon) && !self.steps.is_empty()
@@ -200,18 +200,18 @@
     }
 
     fn horizon(&self) -> Duration {
-        let periods = self.period.map(|period| period * PERIODS_AVERAGED);
-        let horizon = periods.unwrap_or(HORIZON_LEAST);
-        horizon.clamp(HORIZON_LEAST, HORIZON_MOST)
+        let periods = self.period.map(|period| period * AVERAGED_PERIODS);
+        let horizon = periods.unwrap_or(MIN_HORIZON);
+        horizon.clamp(MIN_HORIZON, MAX_HORIZON)
     }
 }
 
-fn within_bounds(wanted: usize, engines: EnginesNow, bounds: &ScalingBounds) -> usize {
-    let least = bounds.least * engines.zones;
-    let most = bounds.most * engines.zones;
-    wanted.clamp(least, most.max(least))
+fn within_bounds(target: usize, engines: ServiceEngines, bounds: &ScalingBounds) -> usize {
+    let min = bounds.min_per_zone * engines.zones;
+    let max = bounds.max_per_zone * engines.zones;
+    target.clamp(min, max.max(min))
 }
 
-fn limited_growth(current: usize, wanted: usize) -> usize {
-    wanted.min((current as f64 * GROWTH_MOST).ceil() as usize)
+fn limit_growth(current: usize, target: usize) -> usize {
+    target.min((current as f64 * MAX_GROWTH_FACTOR).ceil() as usize)
 }
--- a/crates/sloetrail-scaling/src/spread.rs
+++ b/crates/sloetrail-scaling/src/spread.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScalingBounds {
     /// The least engines of a zone.
-    pub least: usize,
+    pub min_per_zone: usize,
     /// The most engines of a zone.
-    pub most: usize,
+    pub max_per_zone: usize,
     /// How long an engine takes to start.
     pub boot_time: Duration,
     /// What an engine costs in each zone, in any unit that they have in common. A zone
@@ -32,13 +32,13 @@
     total: usize,
     zones: &[ZoneName],
     bounds: &ScalingBounds,
-    least: &BTreeMap<ZoneName, usize>,
+    minimums: &BTreeMap<ZoneName, usize>,
 ) -> BTreeMap<ZoneName, usize> {
     let mut cheapest_first: Vec<&ZoneName> = zones.iter().collect();
     cheapest_first.sort_by(|left, right| bounds.price(left).total_cmp(&bounds.price(right)));
     let first = |zone: &ZoneName| {
-        let own = least.get(zone).copied().unwrap_or_default();
-        own.min(bounds.most).max(bounds.least)
+        let minimum = minimums.get(zone).copied().unwrap_or_default();
+        minimum.min(bounds.max_per_zone).max(bounds.min_per_zone)
     };
     let mut shares: Vec<(&ZoneName, usize)> = cheapest_first
         .into_iter()
@@ -46,7 +46,9 @@
         .collect();
     let given: usize = shares.iter().map(|(_, share)| share).sum();
     for _ in given..total {
-        let open = shares.iter_mut().filter(|(_, share)| *share < bounds.most);
+        let open = shares
+            .iter_mut()
+            .filter(|(_, share)| *share < bounds.max_per_zone);
         let Some((_, share)) = open.min_by_key(|(_, share)| *share) else {
             break;
         };
--- a/crates/sloetrail-scaling/src/tests.rs
+++ b/crates/sloetrail-scaling/src/tests.rs
@@ -1,4 +1,4 @@
-use crate::{EnginesNow, Scaler, ScalingBounds, spread};
+use crate::{Scaler, ScalingBounds, ServiceEngines, spread};
 use sloetrail_types::{Timestamp, ZoneName};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,8 +10,8 @@
 
 fn bounds() -> ScalingBounds {
     ScalingBounds {
-        least: 1,
-        most: 24,
+        min_per_zone: 1,
+        max_per_zone: 24,
         boot_time: Duration::from_secs(4),
         zone_prices: [("a", 0.85), ("b", 1.2), ("c", 1.0)]
             .map(|(zone, price)| (ZoneName::from(zone), price))
@@ -19,10 +19,10 @@
     }
 }
 
-fn engines(engines: usize) -> EnginesNow {
-    EnginesNow {
+fn engines(engines: usize) -> ServiceEngines {
+    ServiceEngines {
         engines,
-        slots: 6,
+        slots_per_engine: 6,
         zones: 3,
     }
 }
@@ -31,7 +31,7 @@
 struct Service {
     scaler: Scaler,
     engines: usize,
-    floor: usize,
+    baseline: usize,
     now_ms: u64,
     orders: Vec<usize>,
 }
@@ -41,7 +41,7 @@
         Self {
             scaler: Scaler::default(),
             engines,
-            floor: 0,
+            baseline: 0,
             now_ms: 1_000,
             orders: Vec::new(),
         }
@@ -54,17 +54,17 @@
         while self.now_ms < end_ms {
             let now = Timestamp(self.now_ms);
             if self.now_ms.is_multiple_of(PERIOD.as_millis() as u64) {
-                self.scaler.note_batch(now, Some(PERIOD));
-                self.scaler.note_step(now, step_share);
+                self.scaler.record_batch(now, Some(PERIOD));
+                self.scaler.record_step(now, step_share);
             }
-            let places = self.engines * 6;
-            self.scaler.note_load(now, running.min(places));
+            let slots = self.engines * 6;
+            self.scaler.record_load(now, running.min(slots));
             let decided = self
                 .scaler
-                .decide(now, engines(self.engines), &bounds(), self.floor);
-            if let Some(wanted) = decided {
-                self.engines = wanted;
-                self.orders.push(wanted);
+                .decide(now, engines(self.engines), &bounds(), self.baseline);
+            if let Some(target) = decided {
+                self.engines = target;
+                self.orders.push(target);
             }
             self.now_ms += TICK_MS;
         }
@@ -92,14 +92,14 @@
     let mut service = Service::new(35);
     for tick in 0..300 {
         let now = Timestamp(1_000 + tick * TICK_MS);
-        service.scaler.note_load(now, 0);
+        service.scaler.record_load(now, 0);
         assert_eq!(service.scaler.decide(now, engines(35), &bounds(), 0), None);
     }
     service.now_ms = 31_000;
     service.run(8, 10, 0.7);
     assert!(service.orders.is_empty(), "{:?}", service.orders);
     let idle = Timestamp(service.now_ms + 60_000);
-    service.scaler.note_load(idle, 0);
+    service.scaler.record_load(idle, 0);
     assert_eq!(service.scaler.decide(idle, engines(35), &bounds(), 0), None);
 }
 
@@ -117,7 +117,7 @@
     for _ in 0..6 {
         service
             .scaler
-            .note_load_incomplete(Timestamp(service.now_ms));
+            .record_load_incomplete(Timestamp(service.now_ms));
         service.run(1, 0, 0.7);
     }
     service.run(7, 20, 0.7);
@@ -181,7 +181,7 @@
 #[test]
 fn what_was_added_is_given_back_but_no_more() {
     let mut service = Service::new(20);
-    service.floor = 20;
+    service.baseline = 20;
     service.run(60, 30, 0.7);
     assert!(service.orders.is_empty(), "{:?}", service.orders);
     service.run(20, 90, 1.1);
--- a/crates/sloetrail-scaling/src/tests/fleet.rs
+++ b/crates/sloetrail-scaling/src/tests/fleet.rs
@@ -1,7 +1,9 @@
 //! The engines of a service part of whose work is bound to regions.
 
 use super::{PERIOD, TICK_MS};
-use crate::{BoundWork, BoundWorks, FleetScaler, ScalingBounds, ZoneNow, ZonesNow, spread};
+use crate::{
+    BoundWork, BoundWorkByRegions, FleetScaler, ScalingBounds, ZoneLoad, ZoneLoads, spread,
+};
 use sloetrail_types::{AllowedRegions, RegionName, Timestamp, ZoneName};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,8 +12,8 @@
 
 fn bounds() -> ScalingBounds {
     ScalingBounds {
-        least: 1,
-        most: 12,
+        min_per_zone: 1,
+        max_per_zone: 12,
         boot_time: Duration::from_secs(4),
         zone_prices: BTreeMap::new(),
     }
@@ -24,8 +26,8 @@
 /// Two zones in the north and one in the south; orders are carried out at once.
 struct Service {
     scaler: FleetScaler,
-    zones: ZonesNow,
-    floor: usize,
+    zones: ZoneLoads,
+    baseline: usize,
     now_ms: u64,
     orders: usize,
 }
@@ -33,16 +35,16 @@
 impl Service {
     fn new(engines: usize) -> Self {
         let zones = [("n1", "north"), ("n2", "north"), ("s1", "south")];
-        let zone = |region: &str| ZoneNow {
+        let zone = |region: &str| ZoneLoad {
             region: Some(RegionName::from(region)),
             engines,
-            busy: 0,
+            busy_slots: 0,
         };
         let zones = zones.map(|(name, region)| (ZoneName::from(name), zone(region)));
         Self {
             scaler: FleetScaler::default(),
             zones: zones.into(),
-            floor: 3,
+            baseline: 3,
             now_ms: 1_000,
             orders: 0,
         }
@@ -58,26 +60,26 @@
 
     /// Goes on for some seconds with a batch every four; bound work takes the places that it
     /// wants as far as the engines of its regions have them.
-    fn run(&mut self, seconds: u64, regions: &AllowedRegions, wanted: usize, step_share: f64) {
+    fn run(&mut self, seconds: u64, regions: &AllowedRegions, requested: usize, step_share: f64) {
         let end_ms = self.now_ms + seconds * 1_000;
         while self.now_ms < end_ms {
             let now = Timestamp(self.now_ms);
             let own = self.zones.values();
             let own = own.filter(|zone| regions.allows(zone.region.as_ref()));
-            let places = own.map(|zone| zone.engines).sum::<usize>() * SLOTS;
+            let slots = own.map(|zone| zone.engines).sum::<usize>() * SLOTS;
             let work = BoundWork {
-                busy: wanted.min(places),
-                wanted,
+                busy_slots: requested.min(slots),
+                requested_slots: requested,
             };
-            let works: BoundWorks = [(regions.clone(), work)].into();
+            let works: BoundWorkByRegions = [(regions.clone(), work)].into();
             if self.now_ms.is_multiple_of(PERIOD.as_millis() as u64) {
-                self.scaler.note_batch(now, Some(PERIOD));
-                self.scaler.note_bound_step(now, regions, step_share);
+                self.scaler.record_batch(now, Some(PERIOD));
+                self.scaler.record_bound_step(now, regions, step_share);
             }
-            self.scaler.note_load(now, 0, &self.zones, &works);
+            self.scaler.record_load(now, 0, &self.zones, &works);
             let decided = self
                 .scaler
-                .decide(now, &self.zones, SLOTS, &bounds(), self.floor);
+                .decide(now, &self.zones, SLOTS, &bounds(), self.baseline);
             for (zone, engines) in decided.into_iter().flatten() {
                 let state = self.zones.get_mut(&zone).expect("a zone that there is");
                 self.orders += usize::from(state.engines != engines);
@@ -95,7 +97,7 @@
     let [n1, n2, s1] = service.all();
     assert!(
         n1 + n2 >= 12,
-        "half of the places are busy: {:?}",
+        "half of the slots are busy: {:?}",
         service.all()
     );
     assert!(n1.abs_diff(n2) <= 1, "{:?}", service.all());
@@ -137,7 +139,7 @@
     let before = service.all();
     for _ in 0..20 {
         let now = Timestamp(service.now_ms);
-        service.scaler.note_load_incomplete(now);
+        service.scaler.record_load_incomplete(now);
         service.run(1, &only(&["north"]), 0, 0.7);
     }
     assert_eq!(service.all(), before);
@@ -153,11 +155,11 @@
 #[test]
 fn what_zones_need_is_kept_when_a_number_is_spread() {
     let zones: Vec<ZoneName> = ["a", "b", "c"].map(ZoneName::from).into();
-    let least = [(ZoneName::from("b"), 5), (ZoneName::from("c"), 40)].into();
-    let shares = spread(20, &zones, &bounds(), &least);
+    let minimums = [(ZoneName::from("b"), 5), (ZoneName::from("c"), 40)].into();
+    let shares = spread(20, &zones, &bounds(), &minimums);
     let shares = ["a", "b", "c"].map(|zone| shares[&ZoneName::from(zone)]);
     assert_eq!(shares, [3, 5, 12]);
-    let few = spread(2, &zones, &bounds(), &least);
+    let few = spread(2, &zones, &bounds(), &minimums);
     let few = ["a", "b", "c"].map(|zone| few[&ZoneName::from(zone)]);
     assert_eq!(few, [1, 5, 12]);
 }
@@ -167,14 +169,14 @@
     let mut service = Service::new(2);
     service.zones.remove(&ZoneName::from("s1"));
     let now = Timestamp(service.now_ms);
-    let places = 4 * SLOTS;
-    service.scaler.note_batch(now, None);
+    let slots = 4 * SLOTS;
+    service.scaler.record_batch(now, None);
     service
         .scaler
-        .note_load(now, places, &service.zones, &BoundWorks::new());
+        .record_load(now, slots, &service.zones, &BoundWorkByRegions::new());
     let decided = service
         .scaler
         .decide(now, &service.zones, SLOTS, &bounds(), 0)
-        .expect("all places would be busy");
+        .expect("all slots would be busy");
     assert_eq!(decided.values().sum::<usize>(), 6, "{decided:?}");
 }
--- a/crates/sloetrail-serving/src/cold_budgets.rs
+++ b/crates/sloetrail-serving/src/cold_budgets.rs
@@ -19,7 +19,7 @@
 
 impl ColdBudgets {
     /// What a back end of a region may get, shared by those who may send there.
-    pub(crate) fn of_region(&self, region: Option<&RegionName>) -> ColdBudget {
+    pub(crate) fn for_region(&self, region: Option<&RegionName>) -> ColdBudget {
         let owners = self.owners.iter().filter(|owner| owner.allows(region));
         ColdBudget {
             bears: self.bears,
--- a/crates/sloetrail-serving/src/cold_budgets/tests.rs
+++ b/crates/sloetrail-serving/src/cold_budgets/tests.rs
@@ -26,13 +26,13 @@
     };
     let ways = |region: Option<&str>| {
         let region = region.map(RegionName::from);
-        budgets.of_region(region.as_ref()).ways
+        budgets.for_region(region.as_ref()).ways
     };
     assert_eq!(ways(Some("north")), 4);
     assert_eq!(ways(Some("south")), 3);
     assert_eq!(ways(Some("east")), 2);
     assert_eq!(ways(None), 2, "nothing that is bound goes there");
-    assert_eq!(budgets.of_region(None).bears, 8.0);
+    assert_eq!(budgets.for_region(None).bears, 8.0);
 }
 
 /// The owner of batches that an earlier configuration bound sends there as well.
@@ -66,7 +66,7 @@
         let models = ServiceName::from("models");
         let budgets = ColdTolerance::default().budgets(&configuration, leased, &models);
         let region = RegionName::from(region);
-        budgets.expect("bounded").of_region(Some(&region)).ways
+        budgets.expect("bounded").for_region(Some(&region)).ways
     };
     let leased = LeasedSets::of_view(&leases);
     assert_eq!(ways(&LeasedSets::default(), "north"), 1);
--- a/crates/sloetrail-serving/src/engine_supply.rs
+++ b/crates/sloetrail-serving/src/engine_supply.rs
@@ -31,7 +31,7 @@
 
 impl SupplyAnswer {
     /// A word for logs and metrics.
-    pub(crate) fn word(self) -> &'static str {
+    pub(crate) fn as_str(self) -> &'static str {
         match self {
             SupplyAnswer::Accepted => "accepted",
             SupplyAnswer::Fenced => "fenced",
@@ -58,6 +58,6 @@
         &self,
         order: &SupplyOrder,
         holder: &LeaseHolder,
-        patience: Duration,
+        timeout: Duration,
     ) -> SupplyAnswer;
 }
--- a/crates/sloetrail-serving/src/owner/engines/tests.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests.rs
@@ -9,7 +9,7 @@
 use crate::directory::Directory;
 use crate::owner::assignment::ModelShare;
 use crate::owner::engine::Demand;
-use crate::owner::rollout_plan::ModelTarget;
+use crate::owner::weight_update_plan::ModelTarget;
 use sloetrail_types::{EngineId, ServiceName, WeightVersion, ZoneName};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -98,7 +98,7 @@
     ModelTarget {
         model: model.to_owned(),
         published: WeightVersion(published),
-        needed: WeightVersion(needed),
+        min_usable: WeightVersion(needed),
         ready_share: 1.0,
         newest_share: 1.0,
     }
--- a/crates/sloetrail-serving/src/owner/engines/tests/orders.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests/orders.rs
@@ -3,7 +3,7 @@
 use super::{MODELS, of_model, pool, share, target};
 use crate::owner::engines::EnginePool;
 use crate::owner::publications::Publications;
-use crate::owner::rollout_plan::{ModelTarget, concurrent_changes, plan};
+use crate::owner::weight_update_plan::{ModelTarget, max_concurrent_changes, plan};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::{EngineId, WeightVersion};
 use std::time::Duration;
@@ -48,7 +48,7 @@
     let ids = of_model(&pool, "a");
     use_version(&mut pool, &ids, 3);
     let targets = [target("a", 4, 3), target("b", 4, 3), target("c", 4, 3)];
-    let concurrent = concurrent_changes(36, 2);
+    let concurrent = max_concurrent_changes(36, 2);
     assert_eq!(concurrent, 8, "a fifth of the engines");
     let orders = plan(&pool, &targets, concurrent, BootInstant::now());
     let of = |model: &str| orders.iter().filter(|order| order.model == model).count();
@@ -94,7 +94,7 @@
     let assigned = time_to_assign_many_engines();
     let pool = pool(MANY_ENGINES);
     let targets = MODELS.map(|model| target(model, 2, 1));
-    let concurrent = concurrent_changes(MANY_ENGINES, 2);
+    let concurrent = max_concurrent_changes(MANY_ENGINES, 2);
     let planned = least_time(|| {
         let orders = plan(&pool, &targets, concurrent, BootInstant::now());
         assert_eq!(orders.len(), MANY_ENGINES / 5);
@@ -152,7 +152,7 @@
             true => target("a", 2, 1),
             false => needs_few(2, 1),
         };
-        for order in plan(&pool, &[wanted], concurrent_changes(ENGINES, 2), now) {
+        for order in plan(&pool, &[wanted], max_concurrent_changes(ENGINES, 2), now) {
             let engine = pool.get_mut(&order.engine).expect("known");
             engine.is_being_ordered = true;
             changing.push((now + CHANGE, order.engine));
--- a/crates/sloetrail-serving/src/owner/engines/tests/pace.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests/pace.rs
@@ -3,7 +3,7 @@
 use super::{FASTEST, MODELS, fast_engines, models, of_model, pool, set_pace, target, unconnected};
 use crate::owner::engine::{Demand, Sparing};
 use crate::owner::engines::EnginePool;
-use crate::owner::rollout_plan::plan;
+use crate::owner::weight_update_plan::plan;
 use sloetrail_clock::BootInstant;
 use sloetrail_types::{EngineId, WeightVersion};
 use std::time::Duration;
--- a/crates/sloetrail-serving/src/owner/event.rs
+++ b/crates/sloetrail-serving/src/owner/event.rs
@@ -2,7 +2,7 @@
 
 use super::loading::LoadedBatch;
 use super::reward::RewardOutcome;
-use super::reward_queue::Scoring;
+use super::reward_queue::ScoringTask;
 use super::run::RunOutcome;
 use crate::back_end::{EngineStatus, OrderAnswer};
 use crate::leases::OrderWindow;
@@ -34,7 +34,7 @@
     /// on trial if it may be tried.
     TrialAnswered((BatchId, ItemIndex), Box<Passage>),
     /// A try to score a text has ended.
-    RewardEnded(Scoring, RewardOutcome),
+    RewardEnded(ScoringTask, RewardOutcome),
     /// A result was committed.
     Committed(Committed),
     /// The window for orders was opened, or could not be.
--- a/crates/sloetrail-serving/src/owner/mod.rs
+++ b/crates/sloetrail-serving/src/owner/mod.rs
@@ -4,9 +4,9 @@
 //! The holder of the lease of such a [`BatchSet`] ([`crate::leases`]) runs a
 //! [`service_owner::ServiceOwner`]: it loads the open batches from the table, sends items
 //! to engines ([`run`]), has whole texts scored ([`reward_queue`], [`reward`]), commits results in groups
-//! ([`committer`]) and brings the engines to the published versions ([`rollout_plan`],
+//! ([`committer`]) and brings the engines to the published versions ([`weight_update_plan`],
 //! [`weights`]). Only the owner of the batches that may be anywhere gives orders to engines; the
-//! others tell it what their batches take ([`place_demand`]).
+//! others tell it what their batches take ([`slot_demand`]).
 
 mod assignment;
 mod batch_turns;
@@ -18,15 +18,15 @@
 mod item_story;
 mod loading;
 mod pace;
-mod place_demand;
-mod place_usage;
 mod publications;
 mod reward;
 mod reward_queue;
-mod rollout_plan;
 mod run;
 mod service_owner;
+mod slot_demand;
+mod slot_usage;
 mod sweeper;
+mod weight_update_plan;
 mod weights;
 
 use self::service_owner::ServiceOwner;
--- a/crates/sloetrail-serving/src/owner/reward.rs
+++ b/crates/sloetrail-serving/src/owner/reward.rs
@@ -1,7 +1,7 @@
 //! Scoring a whole text: a live request to another service, once for each turn that it gets
 //! ([`super::reward_queue`]).
 
-use super::reward_queue::Lane;
+use super::reward_queue::ScoringTarget;
 use crate::context::NodeContext;
 use crate::events::{self, Event};
 use crate::gateway::attempt::Outgoing;
@@ -35,21 +35,25 @@
     /// Answers that say that the call itself failed.
     pub(super) failed_answers: usize,
     /// With so many of these the call is given up.
-    pub(super) allowed: usize,
+    pub(super) max_failures: usize,
     /// True if nothing was sent, since no back end had a place.
-    pub(super) found_no_place: bool,
+    pub(super) found_no_slot: bool,
     /// True if nothing was sent, since back ends crash under the call.
-    pub(super) is_kept_back: bool,
+    pub(super) is_withheld: bool,
 }
 
 /// The place among texts that are to be scored, for an item of a batch that is bound to these
 /// regions.
-pub(super) fn lane(context: &NodeContext, reward: &RewardCall, regions: &AllowedRegions) -> Lane {
+pub(super) fn scoring_target(
+    context: &NodeContext,
+    reward: &RewardCall,
+    regions: &AllowedRegions,
+) -> ScoringTarget {
     let configuration = context.configuration();
     let route = configuration
         .as_ref()
         .and_then(|configuration| find_route(configuration, reward));
-    Lane {
+    ScoringTarget {
         service: route.and_then(|route| choose_service(route, &reward.id)),
         regions: match route {
             Some(route) => scoring_regions(&route.allowed_regions, regions),
@@ -67,14 +71,14 @@
     failures: usize,
     cancel: &CancellationToken,
 ) -> RewardOutcome {
-    let scoring = try_to_score(context, item, (reward, regions), failures);
+    let scoring = send_scoring_request(context, item, (reward, regions), failures);
     tokio::select! {
         outcome = scoring => outcome,
         () = cancel.cancelled() => RewardOutcome::Cancelled,
     }
 }
 
-async fn try_to_score(
+async fn send_scoring_request(
     context: &Arc<NodeContext>,
     item: &str,
     (reward, regions): (&RewardCall, &AllowedRegions),
@@ -82,24 +86,24 @@
 ) -> RewardOutcome {
     let mut failure = RewardFailure {
         failed_answers: 0,
-        allowed: usize::MAX,
-        found_no_place: true,
-        is_kept_back: false,
+        max_failures: usize::MAX,
+        found_no_slot: true,
+        is_withheld: false,
     };
-    let word = match prepare(context, reward, regions) {
+    let outcome_title = match prepare(context, reward, regions) {
         None => "no route".to_owned(),
         Some(call) => {
             let outcome = call.run().await;
             failure.failed_answers = outcome.failed_answers;
-            failure.allowed = call.route.max_attempts;
-            failure.found_no_place = outcome.attempts == 0;
+            failure.max_failures = call.route.max_attempts;
+            failure.found_no_slot = outcome.attempts == 0;
             match outcome.answer {
                 Ok(answer) => match score_of(context, &answer) {
                     Some(score) => return RewardOutcome::Scored(score),
                     None => answer.status.as_str().to_owned(),
                 },
                 Err(problem) => {
-                    failure.is_kept_back = problem.is(ResultCode::RequestQuarantined);
+                    failure.is_withheld = problem.is(ResultCode::RequestQuarantined);
                     problem.title
                 }
             }
@@ -109,7 +113,7 @@
         item,
         reward: &reward.id,
         failures: failures + failure.failed_answers,
-        outcome: &word,
+        outcome: &outcome_title,
     });
     RewardOutcome::NoScore(failure)
 }
@@ -169,16 +173,16 @@
 
 fn outgoing(context: &NodeContext, reward: &RewardCall) -> Outgoing {
     let names = context.dialect.headers();
-    let mut sent = HeaderMap::new();
-    headers::set_text(&mut sent, &HOST, &reward.host);
-    headers::set_text(&mut sent, &names.request_id, &reward.id);
+    let mut request_headers = HeaderMap::new();
+    headers::set_text(&mut request_headers, &HOST, &reward.host);
+    headers::set_text(&mut request_headers, &names.request_id, &reward.id);
     let octets = HeaderValue::from_static("application/octet-stream");
-    sent.insert(CONTENT_TYPE, octets);
+    request_headers.insert(CONTENT_TYPE, octets);
     Outgoing {
         request_id: reward.id.clone(),
         method: Method::POST,
         path_and_query: reward.path.clone(),
-        headers: sent,
+        headers: request_headers,
         body: reward.body.clone(),
     }
 }
--- a/crates/sloetrail-serving/src/owner/reward_queue.rs
+++ b/crates/sloetrail-serving/src/owner/reward_queue.rs
@@ -14,15 +14,15 @@
 /// How long a text rests after a failure, and the texts of a lane after one of them has found
 /// no place: a back end that was lost is left alone for 60 ms at first, and the directory
 /// tells of changes within 0.1 s.
-const PAUSE: Duration = Duration::from_millis(80);
+const RETRY_DELAY: Duration = Duration::from_millis(80);
 
 /// How long a text rests that is kept from back ends: it may be tried, or is released, seconds
 /// later at the soonest.
-const PAUSE_KEPT_BACK: Duration = Duration::from_secs(1);
+const WITHHELD_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Texts that need places at the same back ends.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Lane {
+pub(super) struct ScoringTarget {
     /// The service; nothing while no route leads to one.
     pub(super) service: Option<ServiceName>,
     /// Where the texts may be scored.
@@ -31,10 +31,10 @@
 
 /// A text that is to be scored.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Scoring {
+pub(super) struct ScoringTask {
     pub(super) batch: BatchId,
     pub(super) index: ItemIndex,
-    pub(super) lane: Lane,
+    pub(super) target: ScoringTarget,
     pub(super) rank: Rank,
     /// Answers of failure so far.
     pub(super) failures: usize,
@@ -42,13 +42,13 @@
     arrival: u64,
 }
 
-impl Scoring {
+impl ScoringTask {
     /// A text that was not tried yet.
-    pub(super) fn new(batch: BatchId, index: ItemIndex, lane: Lane, rank: Rank) -> Self {
+    pub(super) fn new(batch: BatchId, index: ItemIndex, target: ScoringTarget, rank: Rank) -> Self {
         Self {
             batch,
             index,
-            lane,
+            target,
             rank,
             failures: 0,
             arrival: 0,
@@ -60,65 +60,65 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
     /// False if the trainer waits for the text's group.
-    pub(super) is_extra: bool,
+    pub(super) is_optional: bool,
     /// The order among batches.
     pub(super) batch: (Urgency, u64),
 }
 
 /// What became of one try at a score.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Tried {
+pub(super) enum ScoringOutcome {
     /// The text needs no other.
     Settled,
     /// It was sent and has no score; it is tried again after a pause.
     Failed,
     /// No back end had a place; it is tried again once one may have.
-    FoundNoPlace,
+    NoFreeSlot,
     /// Back ends crash under it, and it was not sent; others go on meanwhile.
-    KeptBack,
+    Withheld,
 }
 
 /// Texts wait in the order of their ranks, and with the same rank of their arrivals.
-type Place = (Rank, u64);
+type QueuePosition = (Rank, u64);
 
 #[derive(Debug, Default)]
-struct LaneState {
-    waiting: BTreeMap<Place, Scoring>,
-    under_way: usize,
+struct TargetQueue {
+    waiting: BTreeMap<QueuePosition, ScoringTask>,
+    in_flight: usize,
     not_before: Option<BootInstant>,
 }
 
-impl LaneState {
-    fn is_resting(&self, now: BootInstant) -> bool {
+impl TargetQueue {
+    fn is_delayed(&self, now: BootInstant) -> bool {
         self.not_before.is_some_and(|moment| now < moment)
     }
 
-    fn is_idle(&self) -> bool {
-        self.waiting.is_empty() && self.under_way == 0
+    fn is_empty(&self) -> bool {
+        self.waiting.is_empty() && self.in_flight == 0
     }
 }
 
 /// The texts of one owner that are to be scored.
 #[derive(Debug, Default)]
 pub(super) struct RewardQueue {
-    lanes: BTreeMap<Lane, LaneState>,
+    targets: BTreeMap<ScoringTarget, TargetQueue>,
     /// Those that failed, and until when they rest, the first to be tried again first.
-    resting: Vec<(BootInstant, Scoring)>,
+    delayed: Vec<(BootInstant, ScoringTask)>,
     arrivals: u64,
 }
 
 impl RewardQueue {
     /// Takes in a text.
-    pub(super) fn push(&mut self, mut scoring: Scoring) {
+    pub(super) fn push(&mut self, mut scoring: ScoringTask) {
         self.arrivals += 1;
         scoring.arrival = self.arrivals;
-        self.put(scoring);
+        self.insert(scoring);
     }
 
-    fn put(&mut self, scoring: Scoring) {
-        let place = (scoring.rank, scoring.arrival);
-        let lane = self.lanes.entry(scoring.lane.clone()).or_default();
-        lane.waiting.insert(place, scoring);
+    fn insert(&mut self, scoring: ScoringTask) {
+        let position = (scoring.rank, scoring.arrival);
+        let target = self.targets.entry(scoring.target.clone()).or_default();
+        target.waiting.insert(position, scoring);
     }
 
     /// Takes out the texts to score now; each is under way until [`RewardQueue::tried`].
@@ -127,19 +127,19 @@
     pub(super) fn start(
         &mut self,
         now: BootInstant,
-        places: impl Fn(&Lane) -> usize,
-    ) -> Vec<Scoring> {
-        self.end_rests(now);
+        slots: impl Fn(&ScoringTarget) -> usize,
+    ) -> Vec<ScoringTask> {
+        self.requeue_due(now);
         let mut started = Vec::new();
-        for (lane, state) in &mut self.lanes {
-            if state.waiting.is_empty() || state.is_resting(now) {
+        for (target, state) in &mut self.targets {
+            if state.waiting.is_empty() || state.is_delayed(now) {
                 continue;
             }
-            let most = places(lane).max(1);
-            while state.under_way < most
+            let max_in_flight = slots(target).max(1);
+            while state.in_flight < max_in_flight
                 && let Some((_, scoring)) = state.waiting.pop_first()
             {
-                state.under_way += 1;
+                state.in_flight += 1;
                 started.push(scoring);
             }
         }
@@ -147,38 +147,46 @@
     }
 
     /// Takes in what became of a text that was under way.
-    pub(super) fn tried(&mut self, now: BootInstant, scoring: Scoring, tried: Tried) {
-        if let Some(lane) = self.lanes.get_mut(&scoring.lane) {
-            lane.under_way = lane.under_way.saturating_sub(1);
-            lane.not_before = match tried {
-                Tried::FoundNoPlace => Some(now + PAUSE),
-                Tried::Settled | Tried::Failed | Tried::KeptBack => None,
+    pub(super) fn finish_attempt(
+        &mut self,
+        now: BootInstant,
+        scoring: ScoringTask,
+        outcome: ScoringOutcome,
+    ) {
+        if let Some(target) = self.targets.get_mut(&scoring.target) {
+            target.in_flight = target.in_flight.saturating_sub(1);
+            target.not_before = match outcome {
+                ScoringOutcome::NoFreeSlot => Some(now + RETRY_DELAY),
+                ScoringOutcome::Settled | ScoringOutcome::Failed | ScoringOutcome::Withheld => None,
             };
         }
-        match tried {
-            Tried::Settled => {}
-            Tried::Failed => self.rest(now + PAUSE, scoring),
-            Tried::KeptBack => self.rest(now + PAUSE_KEPT_BACK, scoring),
-            Tried::FoundNoPlace => self.put(scoring),
+        match outcome {
+            ScoringOutcome::Settled => {}
+            ScoringOutcome::Failed => self.delay(now + RETRY_DELAY, scoring),
+            ScoringOutcome::Withheld => self.delay(now + WITHHELD_RETRY_DELAY, scoring),
+            ScoringOutcome::NoFreeSlot => self.insert(scoring),
         }
-        self.lanes.retain(|_, lane| !lane.is_idle());
+        self.targets.retain(|_, target| !target.is_empty());
     }
 
     /// Drops the texts that need no score any more and are not under way.
-    pub(super) fn retain(&mut self, is_needed: impl Fn(&Scoring) -> bool) {
-        for lane in self.lanes.values_mut() {
-            lane.waiting.retain(|_, scoring| is_needed(scoring));
+    pub(super) fn retain(&mut self, is_needed: impl Fn(&ScoringTask) -> bool) {
+        for target in self.targets.values_mut() {
+            target.waiting.retain(|_, scoring| is_needed(scoring));
         }
-        self.resting.retain(|(_, scoring)| is_needed(scoring));
-        self.lanes.retain(|_, lane| !lane.is_idle());
+        self.delayed.retain(|(_, scoring)| is_needed(scoring));
+        self.targets.retain(|_, target| !target.is_empty());
     }
 
     /// When a rest ends after which something may be started that is not now.
     pub(super) fn next_due(&self, now: BootInstant) -> Option<BootInstant> {
-        let lanes = self.lanes.values().filter(|lane| !lane.waiting.is_empty());
-        let of_lanes = lanes.filter_map(|lane| lane.not_before);
-        let of_texts = self.resting.first().map(|(until, _)| *until);
-        of_lanes
+        let targets = self
+            .targets
+            .values()
+            .filter(|target| !target.waiting.is_empty());
+        let of_targets = targets.filter_map(|target| target.not_before);
+        let of_texts = self.delayed.first().map(|(until, _)| *until);
+        of_targets
             .filter(|moment| now < *moment)
             .chain(of_texts)
             .min()
@@ -186,24 +194,24 @@
 
     /// How many texts wait.
     pub(super) fn waiting(&self) -> usize {
-        let waiting = self.lanes.values().map(|lane| lane.waiting.len());
-        waiting.sum::<usize>() + self.resting.len()
+        let waiting = self.targets.values().map(|target| target.waiting.len());
+        waiting.sum::<usize>() + self.delayed.len()
     }
 
-    fn rest(&mut self, until: BootInstant, scoring: Scoring) {
-        let place = self.resting.partition_point(|(other, _)| *other <= until);
-        self.resting.insert(place, (until, scoring));
+    fn delay(&mut self, until: BootInstant, scoring: ScoringTask) {
+        let position = self.delayed.partition_point(|(other, _)| *other <= until);
+        self.delayed.insert(position, (until, scoring));
     }
 
-    fn end_rests(&mut self, now: BootInstant) {
-        let over = self.resting.partition_point(|(until, _)| *until <= now);
-        let rested: Vec<Scoring> = self
-            .resting
+    fn requeue_due(&mut self, now: BootInstant) {
+        let over = self.delayed.partition_point(|(until, _)| *until <= now);
+        let due: Vec<ScoringTask> = self
+            .delayed
             .drain(..over)
             .map(|(_, scoring)| scoring)
             .collect();
-        for scoring in rested {
-            self.put(scoring);
+        for scoring in due {
+            self.insert(scoring);
         }
     }
 }
--- a/crates/sloetrail-serving/src/owner/reward_queue/tests.rs
+++ b/crates/sloetrail-serving/src/owner/reward_queue/tests.rs
@@ -1,35 +1,41 @@
-use super::{Lane, PAUSE, Rank, RewardQueue, Scoring, Tried};
+use super::{RETRY_DELAY, Rank, RewardQueue, ScoringOutcome, ScoringTarget, ScoringTask};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::{AllowedRegions, ServiceName, Urgency};
 use std::time::Duration;
 
-fn lane(service: &str) -> Lane {
-    Lane {
+fn scoring_target(service: &str) -> ScoringTarget {
+    ScoringTarget {
         service: Some(ServiceName::from(service)),
         regions: AllowedRegions::default(),
     }
 }
 
-fn text_in(service: &str, batch: &str, index: usize, is_extra: bool, accepted: u64) -> Scoring {
+fn text_in(
+    service: &str,
+    batch: &str,
+    index: usize,
+    is_optional: bool,
+    accepted: u64,
+) -> ScoringTask {
     let rank = Rank {
-        is_extra,
+        is_optional,
         batch: (Urgency::new(None, 1), accepted),
     };
-    Scoring::new(batch.into(), index, lane(service), rank)
+    ScoringTask::new(batch.into(), index, scoring_target(service), rank)
 }
 
-fn text(index: usize) -> Scoring {
+fn text(index: usize) -> ScoringTask {
     text_in("app", "b1", index, false, 1)
 }
 
-fn queue(texts: impl IntoIterator<Item = Scoring>) -> RewardQueue {
+fn queue(texts: impl IntoIterator<Item = ScoringTask>) -> RewardQueue {
     let mut queue = RewardQueue::default();
     texts.into_iter().for_each(|text| queue.push(text));
     queue
 }
 
-fn start(queue: &mut RewardQueue, now: BootInstant, places: usize) -> Vec<usize> {
-    let started = queue.start(now, |_| places);
+fn start(queue: &mut RewardQueue, now: BootInstant, slots: usize) -> Vec<usize> {
+    let started = queue.start(now, |_| slots);
     started.iter().map(|text| text.index).collect()
 }
 
@@ -41,10 +47,10 @@
     assert_eq!(started.len(), 5);
     assert_eq!(start(&mut queue, now, 5), [0_usize; 0]);
     for text in started.into_iter().take(2) {
-        queue.tried(now, text, Tried::Settled);
+        queue.finish_attempt(now, text, ScoringOutcome::Settled);
     }
     assert_eq!(start(&mut queue, now, 5), [5, 6]);
-    assert_eq!(start(&mut queue, now, 3), [0_usize; 0], "places have gone");
+    assert_eq!(start(&mut queue, now, 3), [0_usize; 0], "slots have gone");
     assert_eq!(queue.waiting(), 293);
 }
 
@@ -71,14 +77,14 @@
         for text in queue.start(moment, |_| 0) {
             assert_eq!(text.index, 0);
             asked += 1;
-            queue.tried(moment, text, Tried::FoundNoPlace);
+            queue.finish_attempt(moment, text, ScoringOutcome::NoFreeSlot);
         }
         moment += Duration::from_millis(1);
     }
     assert!((10..=13).contains(&asked), "{asked} in a second");
     assert_eq!(queue.waiting(), 300);
-    let first = start(&mut queue, end + PAUSE, 3);
-    assert_eq!(first, [0, 1, 2], "places are there again");
+    let first = start(&mut queue, end + RETRY_DELAY, 3);
+    assert_eq!(first, [0, 1, 2], "slots are there again");
 }
 
 #[test]
@@ -86,12 +92,12 @@
     let now = BootInstant::now();
     let mut queue = queue((0..3).map(text));
     for text in queue.start(now, |_| 1) {
-        queue.tried(now, text, Tried::Failed);
+        queue.finish_attempt(now, text, ScoringOutcome::Failed);
     }
     assert_eq!(start(&mut queue, now, 2), [1, 2]);
-    assert_eq!(queue.next_due(now), Some(now + PAUSE));
-    assert_eq!(start(&mut queue, now + PAUSE / 2, 9), [0_usize; 0]);
-    assert_eq!(start(&mut queue, now + PAUSE, 9), [0]);
+    assert_eq!(queue.next_due(now), Some(now + RETRY_DELAY));
+    assert_eq!(start(&mut queue, now + RETRY_DELAY / 2, 9), [0_usize; 0]);
+    assert_eq!(start(&mut queue, now + RETRY_DELAY, 9), [0]);
 }
 
 #[test]
@@ -102,12 +108,14 @@
         text_in("app", "b1", 1, false, 1),
         text_in("app", "b1", 2, false, 1),
     ]);
-    for text in queue.start(now, |lane| usize::from(lane.service != Some("away".into()))) {
-        let tried = match text.index {
-            0 => Tried::FoundNoPlace,
-            _ => Tried::Settled,
+    for text in queue.start(now, |target| {
+        usize::from(target.service != Some("away".into()))
+    }) {
+        let outcome = match text.index {
+            0 => ScoringOutcome::NoFreeSlot,
+            _ => ScoringOutcome::Settled,
         };
-        queue.tried(now, text, tried);
+        queue.finish_attempt(now, text, outcome);
     }
     assert_eq!(start(&mut queue, now, 1), [2]);
 }
@@ -117,9 +125,9 @@
     let now = BootInstant::now();
     let mut queue = queue((0..4).map(text));
     for text in queue.start(now, |_| 1) {
-        queue.tried(now, text, Tried::Failed);
+        queue.finish_attempt(now, text, ScoringOutcome::Failed);
     }
     queue.retain(|text| text.index == 3);
     assert_eq!(queue.waiting(), 1);
-    assert_eq!(start(&mut queue, now + PAUSE, 9), [3]);
+    assert_eq!(start(&mut queue, now + RETRY_DELAY, 9), [3]);
 }
--- a/crates/sloetrail-serving/src/owner/service_owner.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner.rs
@@ -20,11 +20,11 @@
 use super::engines::EnginePool;
 use super::event::OwnerEvent;
 use super::item_story::ItemStory;
-use super::place_demand::DemandReporter;
-use super::place_usage::{OpenItems, PlaceUsage};
 use super::publications::Publications;
 use super::reward_queue::RewardQueue;
 use super::run::RunProgress;
+use super::slot_demand::DemandReporter;
+use super::slot_usage::{OpenItems, SlotUsage};
 use super::sweeper;
 use crate::context::NodeContext;
 use crate::follow::{FollowPace, ViewReceiver, follow};
@@ -103,7 +103,7 @@
         let all = self.batch.waiting() + self.runs.len();
         OpenItems {
             all,
-            at_a_time: self.outlook.width.map_or(all, |width| width.min(all)),
+            max_concurrent: self.outlook.width.map_or(all, |width| width.min(all)),
         }
     }
 
@@ -136,7 +136,7 @@
     lags: BTreeMap<String, u64>,
     /// Whole texts that are to be scored.
     rewards: RewardQueue,
-    usage: PlaceUsage,
+    usage: SlotUsage,
     lengths: LengthModel,
     /// Items under which engines crash.
     kept_back: KeptBack,
@@ -186,7 +186,7 @@
             carried: BTreeMap::new(),
             lags: BTreeMap::new(),
             rewards: RewardQueue::default(),
-            usage: PlaceUsage::default(),
+            usage: SlotUsage::default(),
             lengths: LengthModel::default(),
             kept_back: KeptBack::default(),
             publications: Publications::default(),
@@ -304,7 +304,7 @@
         let budgets = settings.cold.budgets(configuration, &leased, &self.service);
         let budget = |zone: &ZoneName| {
             let region = settings.topology.region_of(zone);
-            budgets.as_ref().map(|budgets| budgets.of_region(region))
+            budgets.as_ref().map(|budgets| budgets.for_region(region))
         };
         self.engines.set_sparing(|back_end| Sparing {
             evacuated: evacuations.covers(&back_end.zone),
@@ -384,24 +384,24 @@
 
     fn note_usage(&mut self) {
         let now_ms = self.context.table.now_ms().unwrap_or_default();
-        let mut at_a_time = 0;
+        let mut max_concurrent = 0;
         for model in self.models() {
             let open = self.batches.values();
             let of_model = open.filter(|open| open.batch.model.as_ref() == Some(&model));
             let mut items = OpenItems {
                 all: self.others.items(&model, now_ms),
-                at_a_time: self.others.items(&model, now_ms),
+                max_concurrent: self.others.items(&model, now_ms),
             };
             for open in of_model {
                 let of_batch = open.items();
                 items.all += of_batch.all;
-                items.at_a_time += of_batch.at_a_time;
+                items.max_concurrent += of_batch.max_concurrent;
             }
-            at_a_time += items.at_a_time;
+            max_concurrent += items.max_concurrent;
             let places = self.engines.places_of(&model);
-            self.usage.note(&model, items, places);
+            self.usage.record(&model, items, places);
         }
-        let enough = at_a_time * PLACES_FOR_ITEM;
+        let enough = max_concurrent * PLACES_FOR_ITEM;
         if !self.engines.has_places(enough, BootInstant::now()) {
             self.context.directory_interest.want_more();
         }
--- a/crates/sloetrail-serving/src/owner/service_owner/batches.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/batches.rs
@@ -106,7 +106,7 @@
         });
         let is_scarce = self.usage.is_scarce(batch.model.as_deref());
         batch.set_order(self.context.settings.policies.dispatch_order(is_scarce));
-        self.note_batch(&batch);
+        self.record_batch(&batch);
         let kept = kept_in_table(&batch);
         self.reuse_carried(&mut batch);
         let opened = CommitRequest::Open {
--- a/crates/sloetrail-serving/src/owner/service_owner/demand.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/demand.rs
@@ -5,7 +5,7 @@
 use crate::events::{self, Event};
 use crate::leases::Term;
 use crate::owner::event::{DemandWritten, OwnerEvent};
-use crate::owner::place_demand::{DemandRow, StoredDemand};
+use crate::owner::slot_demand::{DemandRow, StoredDemand};
 use crate::rows;
 use crate::table::Commit;
 use sloetrail_clock::BootInstant;
@@ -20,7 +20,7 @@
         }
         let running: usize = self.batches.values().map(|open| open.runs.len()).sum();
         let waiting: usize = self.batches.values().map(|open| open.batch.waiting()).sum();
-        self.demand.note(running, running + waiting);
+        self.demand.record(running, running + waiting);
         let table = &self.context.table;
         let now = BootInstant::now();
         let Some(now_ms) = table.now_ms().filter(|_| table.is_answering()) else {
@@ -50,7 +50,7 @@
     /// The row of the set as this node knows it, of whichever owner.
     fn stored_demand(&self) -> StoredDemand {
         let view = self.context.leases.borrow().clone();
-        let address = rows::place_demand(self.term.subject.name());
+        let address = rows::slot_demand(self.term.subject.name());
         let Some(row) = view.rows.get(&address.key) else {
             return StoredDemand::Absent;
         };
@@ -59,7 +59,7 @@
     }
 
     pub(super) fn demand_written(&mut self, written: DemandWritten) {
-        self.demand.written(written == DemandWritten::Done);
+        self.demand.record_write(written == DemandWritten::Done);
         if written == DemandWritten::Fenced {
             self.term.ended.cancel();
         }
@@ -67,7 +67,7 @@
 }
 
 async fn write(context: &NodeContext, term: &Term, row: &DemandRow) -> DemandWritten {
-    let address = rows::place_demand(term.subject.name());
+    let address = rows::slot_demand(term.subject.name());
     let transaction = term.transaction().put(address, row.encode());
     let written = match context.table.commit(&transaction).await {
         Ok(Commit::Done(_)) => DemandWritten::Done,
--- a/crates/sloetrail-serving/src/owner/service_owner/results.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/results.rs
@@ -165,7 +165,7 @@
         if open.batch.listed(committed.index) {
             let age = open.opened_age + open.opened_at.elapsed();
             let header = open.batch.header.clone();
-            self.note_step(&header, age);
+            self.record_step(&header, age);
             self.tell_step(&committed.batch, committed.index);
         }
     }
--- a/crates/sloetrail-serving/src/owner/service_owner/scoring.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/scoring.rs
@@ -3,7 +3,7 @@
 use super::ServiceOwner;
 use crate::owner::event::OwnerEvent;
 use crate::owner::reward::{self, RewardFailure, RewardOutcome};
-use crate::owner::reward_queue::{Lane, Rank, Scoring, Tried};
+use crate::owner::reward_queue::{Rank, ScoringOutcome, ScoringTarget, ScoringTask};
 use sloetrail_batch::{BatchId, DeathCause, ItemIndex, ItemState};
 use sloetrail_clock::BootInstant;
 use std::sync::Arc;
@@ -19,19 +19,19 @@
             self.succeed(id, index, None);
             return;
         };
-        let lane = reward::lane(&self.context, call, &header.allowed_regions);
+        let lane = reward::scoring_target(&self.context, call, &header.allowed_regions);
         let rank = Rank {
-            is_extra: !open.batch.is_in_wanted_group(index),
+            is_optional: !open.batch.is_in_wanted_group(index),
             batch: header.urgency(),
         };
         self.rewards
-            .push(Scoring::new(id.clone(), index, lane, rank));
+            .push(ScoringTask::new(id.clone(), index, lane, rank));
     }
 
     /// Has as many texts scored as there are places for.
     pub(super) fn score_texts(&mut self) {
         let context = Arc::clone(&self.context);
-        let places = |lane: &Lane| match &lane.service {
+        let places = |lane: &ScoringTarget| match &lane.service {
             Some(service) => context.pools.places_beside_callers(service, &lane.regions),
             None => 0,
         };
@@ -49,11 +49,11 @@
         });
     }
 
-    fn score(&mut self, scoring: Scoring) {
+    fn score(&mut self, scoring: ScoringTask) {
         let open = self.batches.get(&scoring.batch);
         let Some(open) = open.filter(|open| open.needs_score(scoring.index)) else {
             self.rewards
-                .tried(BootInstant::now(), scoring, Tried::Settled);
+                .finish_attempt(BootInstant::now(), scoring, ScoringOutcome::Settled);
             return;
         };
         let submitted = Arc::clone(&open.batch.item(scoring.index).submitted);
@@ -75,7 +75,7 @@
         });
     }
 
-    pub(super) fn reward_ended(&mut self, mut scoring: Scoring, outcome: RewardOutcome) {
+    pub(super) fn reward_ended(&mut self, mut scoring: ScoringTask, outcome: RewardOutcome) {
         let now = BootInstant::now();
         let open = self.batches.get(&scoring.batch);
         let is_needed = open.is_some_and(|open| open.needs_score(scoring.index));
@@ -83,7 +83,8 @@
         let failure = match outcome {
             RewardOutcome::NoScore(failure) if is_needed => failure,
             settled => {
-                self.rewards.tried(now, scoring, Tried::Settled);
+                self.rewards
+                    .finish_attempt(now, scoring, ScoringOutcome::Settled);
                 if let (RewardOutcome::Scored(score), true) = (settled, is_needed) {
                     self.succeed(&id, index, Some(score));
                 }
@@ -91,12 +92,13 @@
             }
         };
         scoring.failures += failure.failed_answers;
-        if scoring.failures >= failure.allowed {
-            self.rewards.tried(now, scoring, Tried::Settled);
+        if scoring.failures >= failure.max_failures {
+            self.rewards
+                .finish_attempt(now, scoring, ScoringOutcome::Settled);
             self.give_up(&id, index, DeathCause::RewardFailed);
             return;
         }
-        self.rewards.tried(now, scoring, tried(failure));
+        self.rewards.finish_attempt(now, scoring, tried(failure));
     }
 }
 
@@ -107,10 +109,10 @@
     }
 }
 
-fn tried(failure: RewardFailure) -> Tried {
+fn tried(failure: RewardFailure) -> ScoringOutcome {
     match failure {
-        failure if failure.is_kept_back => Tried::KeptBack,
-        failure if failure.found_no_place => Tried::FoundNoPlace,
-        _ => Tried::Failed,
+        failure if failure.is_withheld => ScoringOutcome::Withheld,
+        failure if failure.found_no_slot => ScoringOutcome::NoFreeSlot,
+        _ => ScoringOutcome::Failed,
     }
 }
--- a/crates/sloetrail-serving/src/owner/service_owner/supply.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/supply.rs
@@ -7,13 +7,13 @@
 use crate::lease_holder::LeaseHolder;
 use crate::leases::{OrderWindow, Term};
 use crate::owner::event::{OwnerEvent, SupplyAnswered};
-use crate::owner::place_demand::HeardDemands;
+use crate::owner::slot_demand::ReceivedDemands;
 use crate::rows;
 use crate::table::{Commit, read_row};
 use crate::telemetry;
 use sloetrail_batch::BatchHeader;
 use sloetrail_clock::BootInstant;
-use sloetrail_scaling::{FleetScaler, ScalingBounds, ZoneNow, ZonesNow};
+use sloetrail_scaling::{FleetScaler, ScalingBounds, ZoneLoad, ZoneLoads};
 use sloetrail_types::{ServiceName, Timestamp, ZoneName};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -39,7 +39,7 @@
     origin: BootInstant,
     scaler: FleetScaler,
     /// What bound batches take, as their owners tell it.
-    heard: HeardDemands,
+    heard: ReceivedDemands,
     /// By model, when its last batch was accepted, in milliseconds of the table's clock.
     accepted_at_ms: BTreeMap<String, u64>,
     /// How many engines there were before any were ordered.
@@ -54,7 +54,7 @@
         Self {
             origin: BootInstant::now(),
             scaler: FleetScaler::default(),
-            heard: HeardDemands::default(),
+            heard: ReceivedDemands::default(),
             accepted_at_ms: BTreeMap::new(),
             floor: Floor::Unknown(BootInstant::now()),
             planned: Vec::new(),
@@ -69,26 +69,26 @@
     }
 
     /// A batch was opened.
-    pub(super) fn note_batch(&mut self, model: &str, header: &BatchHeader) {
+    pub(super) fn record_batch(&mut self, model: &str, header: &BatchHeader) {
         let accepted_at_ms = header.accepted_at_ms;
         let before = self.accepted_at_ms.insert(model.to_owned(), accepted_at_ms);
         let since_previous = before
             .and_then(|before| accepted_at_ms.checked_sub(before))
             .map(Duration::from_millis);
-        self.scaler.note_batch(self.now(), since_previous);
+        self.scaler.record_batch(self.now(), since_previous);
     }
 }
 
 impl ServiceOwner {
     /// The groups that a trainer waits for are whole.
-    pub(super) fn note_step(&mut self, header: &BatchHeader, age: Duration) {
+    pub(super) fn record_step(&mut self, header: &BatchHeader, age: Duration) {
         if header.run_target_ms == 0 || self.scaling_bounds().is_none() {
             return;
         }
         let share = age.as_millis() as f64 / header.run_target_ms as f64;
         match self.set.is_in_charge_of_engines() {
-            true => self.supply.scaler.note_step(self.supply.now(), share),
-            false => self.demand.note_step(share),
+            true => self.supply.scaler.record_step(self.supply.now(), share),
+            false => self.demand.record_step(share),
         }
     }
 
@@ -116,7 +116,7 @@
         }
         let now = self.supply.now();
         let zones = self.zones_now(&bounds);
-        self.note_supply_load(now, &zones);
+        self.record_supply_load(now, &zones);
         let Some(floor) = self.floor() else {
             return;
         };
@@ -126,28 +126,28 @@
         self.order_supply(supply);
     }
 
-    fn note_supply_load(&mut self, now: Timestamp, zones: &ZonesNow) {
+    fn record_supply_load(&mut self, now: Timestamp, zones: &ZoneLoads) {
         let now_ms = self.context.table.now_ms().unwrap_or_default();
         let is_answering = self.context.table.is_answering();
         if !is_answering {
-            self.supply.heard.note_table_away(now_ms);
+            self.supply.heard.record_table_outage(now_ms);
         }
         let leases = self.context.leases.borrow().clone();
-        let steps = self.supply.heard.take_view(&leases, &self.service, now_ms);
+        let steps = self.supply.heard.apply_view(&leases, &self.service, now_ms);
         let heard = &self.supply.heard;
-        let works = heard.works(now_ms);
+        let works = heard.bound_work(now_ms);
         let is_untold = |header: &BatchHeader| {
             !heard.covers(&header.allowed_regions, header.accepted_at_ms, now_ms)
         };
         let is_complete = is_answering && !self.others.any_at_work(now_ms, is_untold);
         let running = self.batches.values().map(|open| open.runs.len()).sum();
         let scaler = &mut self.supply.scaler;
-        scaler.note_load(now, running, zones, &works);
+        scaler.record_load(now, running, zones, &works);
         for step in steps {
-            scaler.note_bound_step(now, &step.regions, step.share);
+            scaler.record_bound_step(now, &step.regions, step.share);
         }
         if !is_complete {
-            scaler.note_load_incomplete(now);
+            scaler.record_load_incomplete(now);
         }
     }
 
@@ -189,7 +189,7 @@
     fn plan_supply(
         &mut self,
         now: Timestamp,
-        zones: &ZonesNow,
+        zones: &ZoneLoads,
         bounds: &ScalingBounds,
         floor: usize,
     ) -> Vec<SupplyOrder> {
@@ -212,15 +212,15 @@
     /// has lost all of its engines is there as long as it has a price. A zone that is
     /// evacuated is left out: its number stays as it is, and what is needed is ordered
     /// elsewhere.
-    fn zones_now(&self, bounds: &ScalingBounds) -> ZonesNow {
+    fn zones_now(&self, bounds: &ScalingBounds) -> ZoneLoads {
         let topology = &self.context.settings.topology;
-        let empty = |zone: &ZoneName| ZoneNow {
+        let empty = |zone: &ZoneName| ZoneLoad {
             region: topology.region_of(zone).cloned(),
             engines: 0,
-            busy: 0,
+            busy_slots: 0,
         };
         let priced = bounds.zone_prices.keys();
-        let mut zones: ZonesNow = priced.map(|zone| (zone.clone(), empty(zone))).collect();
+        let mut zones: ZoneLoads = priced.map(|zone| (zone.clone(), empty(zone))).collect();
         for (_, engine) in self.engines.iter() {
             let zone = &engine.back_end.zone;
             let state = zones.entry(zone.clone()).or_insert_with(|| empty(zone));
@@ -231,7 +231,7 @@
             let engine = self.engines.get(&run.engine);
             let zone = engine.and_then(|engine| zones.get_mut(&engine.back_end.zone));
             if let Some(zone) = zone {
-                zone.busy += 1;
+                zone.busy_slots += 1;
             }
         }
         let evacuations = Arc::clone(&self.context.in_force.borrow().evacuations);
@@ -317,13 +317,13 @@
     }
 
     fn tell(&self, order: &SupplyOrder, answer: SupplyAnswer) {
-        telemetry::engines_ordered(answer.word());
+        telemetry::engines_ordered(answer.as_str());
         events::emit(&Event::EnginesOrdered {
             service: order.service.as_str(),
             zone: order.zone.as_str(),
             engines: order.engines,
             epoch: self.owner.epoch.0,
-            outcome: answer.word(),
+            outcome: answer.as_str(),
             status: answer.status(),
         });
     }
--- a/crates/sloetrail-serving/src/owner/service_owner/versions.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/versions.rs
@@ -6,7 +6,7 @@
 use crate::owner::assignment::ModelShare;
 use crate::owner::engine::VersionChangeUnderWay;
 use crate::owner::event::{OrderEnd, OwnerEvent};
-use crate::owner::rollout_plan::{ModelTarget, concurrent_changes, plan};
+use crate::owner::weight_update_plan::{ModelTarget, max_concurrent_changes, plan};
 use crate::owner::weights::OrderTask;
 use sloetrail_batch::{Batch, BatchHeader};
 use sloetrail_clock::BootInstant;
@@ -47,7 +47,7 @@
             return;
         }
         let least = self.context.settings.bounds.concurrent_loads;
-        let concurrent = concurrent_changes(self.engines.len(), least);
+        let concurrent = max_concurrent_changes(self.engines.len(), least);
         let targets = self.model_targets();
         let orders = plan(&self.engines, &targets, concurrent, BootInstant::now());
         if orders.is_empty() {
@@ -120,7 +120,7 @@
             ),
         };
         ModelTarget {
-            needed: self.needed_version(&model, published),
+            min_usable: self.needed_version(&model, published),
             model,
             published,
             ready_share,
@@ -173,7 +173,7 @@
         header: &BatchHeader,
     ) {
         self.weights_due = true;
-        self.supply.note_batch(model, header);
+        self.supply.record_batch(model, header);
         let published = Arc::clone(&self.context.in_force.borrow().published);
         if let Some(published) = published.get(model) {
             let lag = published.0.saturating_sub(oldest_version.0);
@@ -182,7 +182,7 @@
     }
 
     /// Notes what a batch demands, and how much work it is.
-    pub(super) fn note_batch(&mut self, batch: &Batch) {
+    pub(super) fn record_batch(&mut self, batch: &Batch) {
         let Some(model) = &batch.model else {
             return;
         };
--- a/crates/sloetrail-serving/src/owner/place_demand.rs
+++ b/crates/sloetrail-serving/src/owner/slot_demand.rs
@@ -4,10 +4,10 @@
 //! The row lies with the leases, which every node follows, so nobody asks for it. It is
 //! written within the owner's term: an earlier owner cannot write over a later one's.
 
-mod heard;
+mod received;
 mod reporter;
 
-pub(super) use heard::HeardDemands;
+pub(super) use received::ReceivedDemands;
 pub(super) use reporter::DemandReporter;
 
 use crate::events::{self, Event};
@@ -19,17 +19,17 @@
 /// The least time between two rows of an owner: half a call a second for each set that has
 /// work. An order is due three seconds after the one before at the earliest, so more would
 /// change little.
-const DEMAND_PACE: Duration = Duration::from_secs(2);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_secs(2);
 /// A row that stands for work is written again after this time, so that it does not age out.
-const DEMAND_REFRESH: Duration = Duration::from_secs(5);
+const REFRESH_INTERVAL: Duration = Duration::from_secs(5);
 /// A row that stands for work counts for so long. Its owner may die: the lease then runs out
 /// after 5 s at most and is taken up to 2 s later, and the successor reports 2 s after that; the
 /// rest is for a slow table.
-const DEMAND_LASTS: Duration = Duration::from_secs(12);
+const DEMAND_VALIDITY: Duration = Duration::from_secs(12);
 
 /// What the batches of a set take of the engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct PlaceDemand {
+pub(super) struct SlotDemand {
     /// Places that their items took on average since the last row, rounded up.
     pub(super) busy: usize,
     /// Places that they would take now if there were enough.
@@ -39,7 +39,7 @@
     pub(super) step_percent: Option<u32>,
 }
 
-impl PlaceDemand {
+impl SlotDemand {
     /// True if there is nothing to tell.
     fn is_idle(&self) -> bool {
         *self == Self::default()
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct DemandRow {
     /// The demand.
-    pub(super) demand: PlaceDemand,
+    pub(super) demand: SlotDemand,
     /// The epoch of the owner that wrote it.
     pub(super) epoch: u64,
     /// When it was written, by the table's clock in milliseconds.
--- a/crates/sloetrail-serving/src/owner/place_demand/heard.rs
+++ b/crates/sloetrail-serving/src/owner/slot_demand/received.rs
@@ -1,10 +1,10 @@
 //! What the owners of bound batches have told of their demand.
 
-use super::{DEMAND_LASTS, DemandRow};
+use super::{DEMAND_VALIDITY, DemandRow};
 use crate::follow::TableView;
 use crate::leases::BatchSet;
 use crate::rows;
-use sloetrail_scaling::{BoundWork, BoundWorks};
+use sloetrail_scaling::{BoundWork, BoundWorkByRegions};
 use sloetrail_types::{AllowedRegions, RowVersion, ServiceName};
 use std::collections::BTreeMap;
 
@@ -19,22 +19,22 @@
 
 /// The demand rows of a service, as the view of the lease rows has them.
 #[derive(Debug, Default)]
-pub(in crate::owner) struct HeardDemands {
-    rows: BTreeMap<AllowedRegions, HeardRow>,
+pub(in crate::owner) struct ReceivedDemands {
+    rows: BTreeMap<AllowedRegions, ReceivedRow>,
     /// The version of each row by its key, also of those that cannot be read.
     versions: BTreeMap<String, RowVersion>,
 }
 
 /// A row, and how long it counts.
 #[derive(Clone, Copy, Debug)]
-struct HeardRow {
+struct ReceivedRow {
     row: DemandRow,
     /// From when on the row ages: when it was written, or, if the table was away while it
     /// counted, when the table was last known not to answer. Nobody could write until then.
     ages_from_ms: u64,
 }
 
-impl HeardRow {
+impl ReceivedRow {
     fn new(row: DemandRow) -> Self {
         Self {
             row,
@@ -45,22 +45,22 @@
     /// A row without demand holds until its owner writes another one.
     fn is_current(&self, now_ms: u64) -> bool {
         let age_ms = now_ms.saturating_sub(self.ages_from_ms);
-        self.row.demand.is_idle() || u128::from(age_ms) <= DEMAND_LASTS.as_millis()
+        self.row.demand.is_idle() || u128::from(age_ms) <= DEMAND_VALIDITY.as_millis()
     }
 }
 
-impl HeardDemands {
+impl ReceivedDemands {
     /// The table does not answer now; rows that count do not age meanwhile.
-    pub(in crate::owner) fn note_table_away(&mut self, now_ms: u64) {
+    pub(in crate::owner) fn record_table_outage(&mut self, now_ms: u64) {
         let rows = self.rows.values_mut();
-        for heard in rows.filter(|heard| heard.is_current(now_ms)) {
-            heard.ages_from_ms = heard.ages_from_ms.max(now_ms);
+        for received in rows.filter(|received| received.is_current(now_ms)) {
+            received.ages_from_ms = received.ages_from_ms.max(now_ms);
         }
     }
 
     /// Takes in the rows of a service; the steps that are told in new ones, unless these are
     /// as old as those that count no more.
-    pub(in crate::owner) fn take_view(
+    pub(in crate::owner) fn apply_view(
         &mut self,
         view: &TableView,
         service: &ServiceName,
@@ -78,23 +78,23 @@
             self.versions.insert(key.clone(), row.version);
             let regions = set.regions().clone();
             match DemandRow::decode(key, &row.value) {
-                Some(heard) => steps.extend(self.take_row(regions, heard, now_ms)),
+                Some(received) => steps.extend(self.apply_row(regions, received, now_ms)),
                 None => drop(self.rows.remove(&regions)),
             }
         }
         steps
     }
 
-    fn take_row(
+    fn apply_row(
         &mut self,
         regions: AllowedRegions,
         row: DemandRow,
         now_ms: u64,
     ) -> Option<BoundStep> {
-        let heard = HeardRow::new(row);
-        self.rows.insert(regions.clone(), heard);
+        let received = ReceivedRow::new(row);
+        self.rows.insert(regions.clone(), received);
         let percent = row.demand.step_percent;
-        let percent = percent.filter(|_| heard.is_current(now_ms))?;
+        let percent = percent.filter(|_| received.is_current(now_ms))?;
         Some(BoundStep {
             regions,
             share: f64::from(percent) / 100.0,
@@ -102,15 +102,15 @@
     }
 
     /// What bound work takes now, as far as its owners are heard of.
-    pub(in crate::owner) fn works(&self, now_ms: u64) -> BoundWorks {
+    pub(in crate::owner) fn bound_work(&self, now_ms: u64) -> BoundWorkByRegions {
         let current = self.rows.iter();
-        let current = current.filter(|(_, heard)| heard.is_current(now_ms));
-        let work = |heard: &HeardRow| BoundWork {
-            busy: heard.row.demand.busy,
-            wanted: heard.row.demand.wanted,
+        let current = current.filter(|(_, received)| received.is_current(now_ms));
+        let work = |received: &ReceivedRow| BoundWork {
+            busy_slots: received.row.demand.busy,
+            requested_slots: received.row.demand.wanted,
         };
         current
-            .map(|(regions, heard)| (regions.clone(), work(heard)))
+            .map(|(regions, received)| (regions.clone(), work(received)))
             .collect()
     }
 
@@ -122,8 +122,9 @@
         since_ms: u64,
         now_ms: u64,
     ) -> bool {
-        let heard = self.rows.get(regions);
-        heard.is_some_and(|heard| heard.row.at_ms >= since_ms && heard.is_current(now_ms))
+        let received = self.rows.get(regions);
+        received
+            .is_some_and(|received| received.row.at_ms >= since_ms && received.is_current(now_ms))
     }
 }
 
@@ -131,7 +132,7 @@
 fn demand_keys(view: &TableView) -> impl Iterator<Item = (&String, BatchSet)> {
     let keys = view.rows.keys();
     keys.filter_map(|key| {
-        let name = rows::subject_of_place_demand(key)?;
+        let name = rows::subject_of_slot_demand(key)?;
         Some((key, BatchSet::of_bound_lease(name)?))
     })
 }
--- a/crates/sloetrail-serving/src/owner/place_demand/tests.rs
+++ b/crates/sloetrail-serving/src/owner/slot_demand/tests.rs
@@ -1,5 +1,6 @@
 use super::{
-    DEMAND_LASTS, DEMAND_PACE, DemandReporter, DemandRow, HeardDemands, PlaceDemand, StoredDemand,
+    DEMAND_VALIDITY, DemandReporter, DemandRow, MIN_REPORT_INTERVAL, ReceivedDemands, SlotDemand,
+    StoredDemand,
 };
 use crate::follow::TableView;
 use crate::rows;
@@ -16,15 +17,15 @@
     AllowedRegions::only([RegionName::from("north")])
 }
 
-fn demand(busy: usize) -> PlaceDemand {
-    PlaceDemand {
+fn demand(busy: usize) -> SlotDemand {
+    SlotDemand {
         busy,
         wanted: busy,
         step_percent: None,
     }
 }
 
-fn row(demand: PlaceDemand, epoch: u64, at_ms: u64) -> DemandRow {
+fn row(demand: SlotDemand, epoch: u64, at_ms: u64) -> DemandRow {
     DemandRow {
         demand,
         epoch,
@@ -33,7 +34,7 @@
 }
 
 fn put(view: &mut TableView, name: &str, version: u64, value: Bytes) {
-    let address = rows::place_demand(name);
+    let address = rows::slot_demand(name);
     let row = Row {
         address: address.clone(),
         value,
@@ -42,14 +43,14 @@
     view.rows.insert(address.key, row);
 }
 
-fn heard(rows: &[(&str, DemandRow)]) -> HeardDemands {
+fn receive(rows: &[(&str, DemandRow)]) -> ReceivedDemands {
     let mut view = TableView::empty();
     for (name, row) in rows {
         put(&mut view, name, 1, row.encode());
     }
-    let mut heard = HeardDemands::default();
-    heard.take_view(&view, &ServiceName::from("models"), AT_MS);
-    heard
+    let mut received = ReceivedDemands::default();
+    received.apply_view(&view, &ServiceName::from("models"), AT_MS);
+    received
 }
 
 fn due(
@@ -57,7 +58,7 @@
     now: BootInstant,
     now_ms: u64,
     stored: StoredDemand,
-) -> Option<PlaceDemand> {
+) -> Option<SlotDemand> {
     let is_due = reporter.is_due(now);
     is_due
         .then(|| reporter.end_period(now, now_ms, stored))
@@ -72,8 +73,12 @@
     row.map_or(StoredDemand::Absent, StoredDemand::Row)
 }
 
-fn busy(heard: &HeardDemands, now_ms: u64) -> usize {
-    heard.works(now_ms).values().map(|work| work.busy).sum()
+fn busy(received: &ReceivedDemands, now_ms: u64) -> usize {
+    received
+        .bound_work(now_ms)
+        .values()
+        .map(|work| work.busy_slots)
+        .sum()
 }
 
 #[test]
@@ -85,20 +90,20 @@
     for tick in 0..400_u64 {
         let at = Duration::from_millis(tick * 100);
         let running = if (50..250).contains(&tick) { 7 } else { 0 };
-        reporter.note(running, running);
+        reporter.record(running, running);
         let now_ms = after(at);
         if let Some(demand) = due(&mut reporter, began + at, now_ms, known(stored)) {
-            reporter.written(true);
+            reporter.record_write(true);
             stored = Some(row(demand, 1, now_ms));
             written.push((tick, demand));
         }
-        let heard = heard(
+        let received = receive(
             &stored
                 .map(|row| (NAME, row))
                 .into_iter()
                 .collect::<Vec<_>>(),
         );
-        let is_known = tick < 50 + 20 || running == 0 || busy(&heard, now_ms) > 0;
+        let is_known = tick < 50 + 20 || running == 0 || busy(&received, now_ms) > 0;
         assert!(is_known, "{tick}: {written:?}");
     }
     let gaps = written.windows(2).map(|pair| pair[1].0 - pair[0].0);
@@ -114,55 +119,55 @@
     let began = BootInstant::now();
     let mut reporter = DemandReporter::new(began);
     let stored = StoredDemand::Row(row(demand(9), 4, AT_MS));
-    reporter.note(0, 0);
-    let early = began + DEMAND_PACE / 2;
+    reporter.record(0, 0);
+    let early = began + MIN_REPORT_INTERVAL / 2;
     assert_eq!(due(&mut reporter, early, AT_MS, stored), None);
-    let first = due(&mut reporter, began + DEMAND_PACE, AT_MS, stored);
-    assert_eq!(first, Some(PlaceDemand::default()));
-    let again = began + DEMAND_PACE * 3;
+    let first = due(&mut reporter, began + MIN_REPORT_INTERVAL, AT_MS, stored);
+    assert_eq!(first, Some(SlotDemand::default()));
+    let again = began + MIN_REPORT_INTERVAL * 3;
     assert_eq!(due(&mut reporter, again, AT_MS, stored), None, "in flight");
 }
 
 #[test]
 fn a_row_that_cannot_be_read_is_written_over_and_an_idle_owner_leaves_the_others_alone() {
     let began = BootInstant::now();
-    let idle = PlaceDemand::default();
-    let later = began + DEMAND_PACE;
-    let late = after(DEMAND_LASTS * 10);
-    let told = |stored| due(&mut DemandReporter::new(began), later, late, stored);
-    assert_eq!(told(StoredDemand::Unreadable), Some(idle));
-    assert_eq!(told(StoredDemand::Absent), None);
-    assert_eq!(told(StoredDemand::Row(row(idle, 1, AT_MS))), None);
+    let idle = SlotDemand::default();
+    let later = began + MIN_REPORT_INTERVAL;
+    let late = after(DEMAND_VALIDITY * 10);
+    let report = |stored| due(&mut DemandReporter::new(began), later, late, stored);
+    assert_eq!(report(StoredDemand::Unreadable), Some(idle));
+    assert_eq!(report(StoredDemand::Absent), None);
+    assert_eq!(report(StoredDemand::Row(row(idle, 1, AT_MS))), None);
 }
 
 #[test]
 fn a_step_is_told_once_and_again_if_the_row_was_not_written() {
     let began = BootInstant::now();
     let mut reporter = DemandReporter::new(began);
-    reporter.note(3, 3);
-    reporter.note_step(0.5);
-    reporter.note_step(1.021);
+    reporter.record(3, 3);
+    reporter.record_step(0.5);
+    reporter.record_step(1.021);
     let first = due(
         &mut reporter,
-        began + DEMAND_PACE,
+        began + MIN_REPORT_INTERVAL,
         AT_MS,
         StoredDemand::Absent,
     );
     assert_eq!(first.and_then(|demand| demand.step_percent), Some(103));
-    reporter.written(false);
-    reporter.note(3, 3);
+    reporter.record_write(false);
+    reporter.record(3, 3);
     let second = due(
         &mut reporter,
-        began + DEMAND_PACE * 2,
+        began + MIN_REPORT_INTERVAL * 2,
         AT_MS,
         StoredDemand::Absent,
     );
     assert_eq!(second.and_then(|demand| demand.step_percent), Some(103));
-    reporter.written(true);
-    reporter.note(3, 3);
+    reporter.record_write(true);
+    reporter.record(3, 3);
     let third = due(
         &mut reporter,
-        began + DEMAND_PACE * 3,
+        began + MIN_REPORT_INTERVAL * 3,
         AT_MS,
         StoredDemand::Absent,
     );
@@ -171,57 +176,57 @@
 
 #[test]
 fn the_row_of_a_dead_owner_ages_out_but_not_while_the_table_is_away() {
-    let mut heard = heard(&[(NAME, row(demand(5), 1, AT_MS))]);
+    let mut received = receive(&[(NAME, row(demand(5), 1, AT_MS))]);
     let just = Duration::from_millis(1);
-    assert_eq!(busy(&heard, after(DEMAND_LASTS)), 5);
-    assert_eq!(busy(&heard, after(DEMAND_LASTS + just)), 0);
-    assert!(!heard.covers(&north(), AT_MS, after(DEMAND_LASTS + just)));
-    heard.note_table_away(after(DEMAND_LASTS));
-    assert_eq!(busy(&heard, after(DEMAND_LASTS * 2)), 5);
-    assert_eq!(busy(&heard, after(DEMAND_LASTS * 2 + just)), 0);
+    assert_eq!(busy(&received, after(DEMAND_VALIDITY)), 5);
+    assert_eq!(busy(&received, after(DEMAND_VALIDITY + just)), 0);
+    assert!(!received.covers(&north(), AT_MS, after(DEMAND_VALIDITY + just)));
+    received.record_table_outage(after(DEMAND_VALIDITY));
+    assert_eq!(busy(&received, after(DEMAND_VALIDITY * 2)), 5);
+    assert_eq!(busy(&received, after(DEMAND_VALIDITY * 2 + just)), 0);
 }
 
 #[test]
 fn a_row_without_demand_holds_but_does_not_cover_batches_that_came_after_it() {
-    let heard = heard(&[(NAME, row(PlaceDemand::default(), 1, AT_MS))]);
-    let late = after(DEMAND_LASTS * 10);
-    assert!(heard.covers(&north(), AT_MS, late));
-    assert!(!heard.covers(&north(), AT_MS + 1, late));
+    let received = receive(&[(NAME, row(SlotDemand::default(), 1, AT_MS))]);
+    let late = after(DEMAND_VALIDITY * 10);
+    assert!(received.covers(&north(), AT_MS, late));
+    assert!(!received.covers(&north(), AT_MS + 1, late));
 }
 
 #[test]
 fn a_later_owners_row_takes_the_place_of_the_one_before() {
     let service = ServiceName::from("models");
     let mut view = TableView::empty();
-    let mut heard = HeardDemands::default();
+    let mut received = ReceivedDemands::default();
     put(&mut view, NAME, 1, row(demand(5), 1, AT_MS).encode());
-    heard.take_view(&view, &service, AT_MS);
-    let late = PlaceDemand {
+    received.apply_view(&view, &service, AT_MS);
+    let late = SlotDemand {
         step_percent: Some(120),
         ..demand(2)
     };
     put(&mut view, NAME, 2, row(late, 2, AT_MS).encode());
-    let steps = heard.take_view(&view, &service, AT_MS);
+    let steps = received.apply_view(&view, &service, AT_MS);
     assert_eq!(steps.len(), 1);
     assert!((steps[0].share - 1.2).abs() < 1e-9);
     assert!(
-        heard.take_view(&view, &service, AT_MS).is_empty(),
+        received.apply_view(&view, &service, AT_MS).is_empty(),
         "told once"
     );
-    assert_eq!(busy(&heard, AT_MS), 2);
+    assert_eq!(busy(&received, AT_MS), 2);
 }
 
 #[test]
 fn a_new_owner_that_orders_takes_no_steps_from_rows_that_have_aged() {
     let mut view = TableView::empty();
-    let late = PlaceDemand {
+    let late = SlotDemand {
         step_percent: Some(120),
         ..demand(2)
     };
     put(&mut view, NAME, 1, row(late, 1, AT_MS).encode());
-    let now_ms = after(DEMAND_LASTS * 2);
-    let mut heard = HeardDemands::default();
-    let steps = heard.take_view(&view, &ServiceName::from("models"), now_ms);
+    let now_ms = after(DEMAND_VALIDITY * 2);
+    let mut received = ReceivedDemands::default();
+    let steps = received.apply_view(&view, &ServiceName::from("models"), now_ms);
     assert!(steps.is_empty(), "{steps:?}");
 }
 
@@ -232,41 +237,41 @@
     let encoded = row(demand(5), 1, AT_MS).encode();
     put(&mut view, "others@north", 1, encoded.clone());
     put(&mut view, NAME, 1, encoded);
-    let mut heard = HeardDemands::default();
-    heard.take_view(&view, &service, AT_MS);
-    assert_eq!(busy(&heard, AT_MS), 5);
+    let mut received = ReceivedDemands::default();
+    received.apply_view(&view, &service, AT_MS);
+    assert_eq!(busy(&received, AT_MS), 5);
     put(&mut view, NAME, 2, Bytes::from_static(b"?"));
-    heard.take_view(&view, &service, AT_MS);
-    assert_eq!(busy(&heard, AT_MS), 0);
-    assert!(!heard.covers(&north(), 0, AT_MS));
+    received.apply_view(&view, &service, AT_MS);
+    assert_eq!(busy(&received, AT_MS), 0);
+    assert!(!received.covers(&north(), 0, AT_MS));
 }
 
 #[test]
 fn a_row_that_has_aged_out_stays_so_when_the_table_was_away_later() {
-    let mut heard = heard(&[(NAME, row(demand(5), 1, AT_MS))]);
-    let away = after(DEMAND_LASTS * 10);
-    assert_eq!(busy(&heard, away), 0);
-    heard.note_table_away(away);
+    let mut received = receive(&[(NAME, row(demand(5), 1, AT_MS))]);
+    let away = after(DEMAND_VALIDITY * 10);
+    assert_eq!(busy(&received, away), 0);
+    received.record_table_outage(away);
     assert_eq!(
-        busy(&heard, away),
+        busy(&received, away),
         0,
         "its owner had ceased to write before"
     );
-    assert!(!heard.covers(&north(), AT_MS, away));
+    assert!(!received.covers(&north(), AT_MS, away));
 }
 
 #[test]
 fn an_aged_row_tells_no_step_to_a_new_owner_just_after_the_table_was_away() {
     let mut view = TableView::empty();
-    let late = PlaceDemand {
+    let late = SlotDemand {
         step_percent: Some(120),
         ..demand(2)
     };
     put(&mut view, NAME, 1, row(late, 1, AT_MS).encode());
-    let away = after(DEMAND_LASTS * 10);
-    let mut heard = HeardDemands::default();
-    heard.note_table_away(away);
-    let steps = heard.take_view(&view, &ServiceName::from("models"), away);
+    let away = after(DEMAND_VALIDITY * 10);
+    let mut received = ReceivedDemands::default();
+    received.record_table_outage(away);
+    let steps = received.apply_view(&view, &ServiceName::from("models"), away);
     assert!(steps.is_empty(), "{steps:?}");
-    assert_eq!(busy(&heard, away), 0);
+    assert_eq!(busy(&received, away), 0);
 }
--- a/crates/sloetrail-serving/src/owner/place_usage.rs
+++ b/crates/sloetrail-serving/src/owner/slot_usage.rs
@@ -5,20 +5,20 @@
 /// Weight of one observation in the average; they come ten times a second.
 const SMOOTHING: f64 = 0.012;
 /// What is left of a peak after one observation.
-const PEAK_KEPT: f64 = 0.99;
+const PEAK_DECAY: f64 = 0.99;
 /// Places that should be ready for use, for each one used at the peak.
-const READY_FOR_PEAK: f64 = 2.0;
+const READY_SLOTS_PER_PEAK_SLOT: f64 = 2.0;
 /// Engines that should have the newest version, for each place in use on average.
-const NEWEST_FOR_USED: f64 = 2.0;
-const NEWEST_LEAST: f64 = 0.5;
+const NEWEST_SLOTS_PER_USED_SLOT: f64 = 2.0;
+const MIN_NEWEST_SHARE: f64 = 0.5;
 
 /// From this share of places used on average on, places are scarce: below it a step is
 /// as long as its longest text, above it as long as its work.
-const SCARCE_FROM: f64 = 0.75;
+const SCARCITY_THRESHOLD: f64 = 0.75;
 /// Looks since the first item before that is judged.
-const OBSERVATIONS_LEAST: u32 = 30;
+const MIN_OBSERVATIONS: u32 = 30;
 /// Weight of one observation in that average, once there were many.
-const SCARCITY_SMOOTHING: f64 = 0.02;
+const MIN_SCARCITY_WEIGHT: f64 = 0.02;
 
 #[derive(Clone, Copy, Debug)]
 struct Usage {
@@ -26,7 +26,7 @@
     /// Looks since the first item.
     observations: u32,
     /// The average since then, which does not begin from the quiet before.
-    since_first: f64,
+    average_since_first: f64,
     peak: f64,
 }
 
@@ -36,35 +36,36 @@
     /// Those that run or wait for a place.
     pub(super) all: usize,
     /// Of these, the most that are to run at a time.
-    pub(super) at_a_time: usize,
+    pub(super) max_concurrent: usize,
 }
 
 /// The share of the places in use, by model.
 #[derive(Debug, Default)]
-pub(super) struct PlaceUsage {
+pub(super) struct SlotUsage {
     models: BTreeMap<String, Usage>,
 }
 
-impl PlaceUsage {
+impl SlotUsage {
     /// Takes in how many places a model's items take of those that its engines have;
     /// items that wait for a place take one as well. Those that are held back on purpose
     /// need no place yet, but show how scarce places are.
-    pub(super) fn note(&mut self, model: &str, items: OpenItems, places: usize) {
-        let of_places = |items: usize| (items as f64 / places.max(1) as f64).min(1.0);
-        let share = of_places(items.at_a_time);
+    pub(super) fn record(&mut self, model: &str, items: OpenItems, slots: usize) {
+        let slot_share = |items: usize| (items as f64 / slots.max(1) as f64).min(1.0);
+        let share = slot_share(items.max_concurrent);
         let first = Usage {
             average: share,
             observations: 0,
-            since_first: 0.0,
+            average_since_first: 0.0,
             peak: share,
         };
         let usage = self.models.entry(model.to_owned()).or_insert(first);
         usage.average += (share - usage.average) * SMOOTHING;
-        usage.peak = share.max(usage.peak * PEAK_KEPT);
+        usage.peak = share.max(usage.peak * PEAK_DECAY);
         if items.all > 0 || usage.observations > 0 {
             usage.observations = usage.observations.saturating_add(1);
-            let weight = SCARCITY_SMOOTHING.max(1.0 / f64::from(usage.observations));
-            usage.since_first += (of_places(items.all) - usage.since_first) * weight;
+            let weight = MIN_SCARCITY_WEIGHT.max(1.0 / f64::from(usage.observations));
+            usage.average_since_first +=
+                (slot_share(items.all) - usage.average_since_first) * weight;
         }
     }
 
@@ -72,7 +73,7 @@
     pub(super) fn is_scarce(&self, model: Option<&str>) -> bool {
         let usage = model.and_then(|model| self.models.get(model));
         usage.is_some_and(|usage| {
-            usage.observations >= OBSERVATIONS_LEAST && usage.since_first > SCARCE_FROM
+            usage.observations >= MIN_OBSERVATIONS && usage.average_since_first > SCARCITY_THRESHOLD
         })
     }
 
@@ -80,7 +81,7 @@
     pub(super) fn ready_share(&self, model: &str) -> f64 {
         let usage = self.models.get(model);
         let peak = usage.map_or(1.0, |usage| usage.peak);
-        (peak * READY_FOR_PEAK).min(1.0)
+        (peak * READY_SLOTS_PER_PEAK_SLOT).min(1.0)
     }
 
     /// Of the engines that should be ready, the share that should have the newest
@@ -88,7 +89,7 @@
     pub(super) fn newest_share(&self, model: &str) -> f64 {
         let usage = self.models.get(model);
         let average = usage.map_or(0.0, |usage| usage.average);
-        (average * NEWEST_FOR_USED).clamp(NEWEST_LEAST, 1.0)
+        (average * NEWEST_SLOTS_PER_USED_SLOT).clamp(MIN_NEWEST_SHARE, 1.0)
     }
 }
 
--- a/crates/sloetrail-serving/src/owner/rollout_plan.rs
+++ b/crates/sloetrail-serving/src/owner/weight_update_plan.rs
@@ -22,7 +22,7 @@
 /// begin at once, also if one of them is lost. A share of the engines in place of a number
 /// grows with the fleet and not with the work: at 972 engines a model it was 97, each with an
 /// order and a connection a version.
-const READY_LEAST: usize = 3;
+const MIN_READY_ENGINES: usize = 3;
 
 /// What the versions of one model have come to.
 #[derive(Clone, Debug, PartialEq)]
@@ -32,7 +32,7 @@
     /// The newest version, which engines are brought to.
     pub(super) published: WeightVersion,
     /// The oldest version that the newest batch can use.
-    pub(super) needed: WeightVersion,
+    pub(super) min_usable: WeightVersion,
     /// The share of the model's engines that should be ready for the newest batch; the
     /// others keep the version that they have.
     pub(super) ready_share: f64,
@@ -42,8 +42,8 @@
 }
 
 /// How many of `engines` may change at a time: a fifth, but at least `least`.
-pub(super) fn concurrent_changes(engines: usize, least: usize) -> usize {
-    engines.div_ceil(CHANGING_DIVISOR).max(least)
+pub(super) fn max_concurrent_changes(engines: usize, minimum: usize) -> usize {
+    engines.div_ceil(CHANGING_DIVISOR).max(minimum)
 }
 
 /// The orders to give now, with at most `concurrent` changes at a time.
@@ -53,8 +53,8 @@
     concurrent: usize,
     now: BootInstant,
 ) -> Vec<PlannedOrder> {
-    let under_way = pool.iter().filter(|(_, engine)| is_changing(engine));
-    let free = concurrent.saturating_sub(under_way.count());
+    let changing = pool.iter().filter(|(_, engine)| is_changing(engine));
+    let free = concurrent.saturating_sub(changing.count());
     if free == 0 {
         return Vec::new();
     }
@@ -64,8 +64,12 @@
         .collect();
     (0..free)
         .map_while(|_| {
-            let turns = queues.iter_mut().filter(|queue| queue.turn().is_some());
-            turns.min_by_key(|queue| queue.turn())?.take()
+            let candidates = queues
+                .iter_mut()
+                .filter(|queue| queue.next_priority().is_some());
+            candidates
+                .min_by_key(|queue| queue.next_priority())?
+                .take_next()
         })
         .collect()
 }
@@ -81,7 +85,7 @@
 
 /// Decides whose turn it is: the smallest goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Turn {
+struct UpdatePriority {
     /// Engines that the newest batch cannot use go before the others.
     is_usable: bool,
     /// Engines of the model that are usable or changing, per thousand assigned.
@@ -93,7 +97,7 @@
 }
 
 /// An engine that is due.
-struct Due<'a> {
+struct DueEngine<'a> {
     id: &'a EngineId,
     version: WeightVersion,
     running: usize,
@@ -109,9 +113,9 @@
     newest: usize,
     changing: usize,
     /// Engines that the newest batch cannot use; the next one stands last.
-    unusable: Vec<Due<'a>>,
+    unusable: Vec<DueEngine<'a>>,
     /// Engines that it can use; the next one stands last.
-    lagging: Vec<Due<'a>>,
+    lagging: Vec<DueEngine<'a>>,
 }
 
 impl<'a> ModelQueue<'a> {
@@ -139,7 +143,7 @@
 
     fn add(&mut self, id: &'a EngineId, engine: &Engine, now: BootInstant) {
         let version = engine.version(&self.target.model);
-        let is_usable = version >= self.target.needed;
+        let is_usable = version >= self.target.min_usable;
         self.assigned += 1;
         self.changing += usize::from(is_changing(engine));
         let is_served = is_usable || is_changing(engine);
@@ -159,7 +163,7 @@
             true => &mut self.lagging,
             false => &mut self.unusable,
         };
-        due.push(Due {
+        due.push(DueEngine {
             id,
             version,
             running: engine.running,
@@ -167,14 +171,14 @@
     }
 
     /// The turn of the engine that is next; nothing if none may change now.
-    fn turn(&self) -> Option<Turn> {
-        let is_usable = !self.needs_ready();
+    fn next_priority(&self) -> Option<UpdatePriority> {
+        let is_usable = !self.needs_more_ready();
         let next = match is_usable {
-            true if self.needs_newest() => self.lagging.last()?,
+            true if self.needs_more_newest() => self.lagging.last()?,
             true => return None,
             false => self.unusable.last()?,
         };
-        Some(Turn {
+        Some(UpdatePriority {
             is_usable,
             served_share: self.served * PER_THOUSAND / self.assigned,
             version: next.version,
@@ -182,26 +186,26 @@
         })
     }
 
-    fn needs_ready(&self) -> bool {
-        !self.unusable.is_empty() && self.ready < self.ready_enough()
+    fn needs_more_ready(&self) -> bool {
+        !self.unusable.is_empty() && self.ready < self.target_ready()
     }
 
-    fn needs_newest(&self) -> bool {
+    fn needs_more_newest(&self) -> bool {
         let may_change = self.assigned.div_ceil(USABLE_CHANGING_DIVISOR);
-        self.changing < may_change && self.newest < self.newest_enough()
+        self.changing < may_change && self.newest < self.target_newest()
     }
 
-    fn ready_enough(&self) -> usize {
-        let wanted = share_of(self.assigned, self.target.ready_share);
-        wanted.max(READY_LEAST).min(self.assigned)
+    fn target_ready(&self) -> usize {
+        let ready = share_of(self.assigned, self.target.ready_share);
+        ready.max(MIN_READY_ENGINES).min(self.assigned)
     }
 
-    fn newest_enough(&self) -> usize {
-        share_of(self.ready_enough(), self.target.newest_share)
+    fn target_newest(&self) -> usize {
+        share_of(self.target_ready(), self.target.newest_share)
     }
 
-    fn take(&mut self) -> Option<PlannedOrder> {
-        let was_unusable = self.needs_ready();
+    fn take_next(&mut self) -> Option<PlannedOrder> {
+        let was_unusable = self.needs_more_ready();
         let due = match was_unusable {
             true => &mut self.unusable,
             false => &mut self.lagging,
--- a/crates/sloetrail-serving/src/rows.rs
+++ b/crates/sloetrail-serving/src/rows.rs
@@ -90,12 +90,12 @@
 
 /// What the bound batches of a set take of the engines. It lies with the leases, which every
 /// node follows.
-pub fn place_demand(subject: &str) -> RowAddress {
+pub fn slot_demand(subject: &str) -> RowAddress {
     RowAddress::new(LEASES, OWNERS, format!("{PLACE_DEMAND_KEYS}{subject}"))
 }
 
 /// The lease whose batches a demand is of, by its key; nothing if the key is of another row.
-pub fn subject_of_place_demand(key: &str) -> Option<&str> {
+pub fn subject_of_slot_demand(key: &str) -> Option<&str> {
     key.strip_prefix(PLACE_DEMAND_KEYS)
 }
 
--- a/crates/sloetrail-serving/src/service_pools/state.rs
+++ b/crates/sloetrail-serving/src/service_pools/state.rs
@@ -214,7 +214,7 @@
         let budget = self
             .budgets
             .as_ref()
-            .map(|budgets| budgets.of_region(region));
+            .map(|budgets| budgets.for_region(region));
         let bound = budget.map(|budget| state.live_bound(&budget, &back_end.id));
         Some(ColdEngine {
             until: now.after(left),
