--- a/crates/sloetrail-scaling/src/fleet.rs
+++ b/crates/sloetrail-scaling/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The decision on the engines of a whole service, part of whose work is bound to regions.
+//! Decides engine counts per zone for a service with region-bound work.
 
 use crate::scaler::{Scaler, ServiceEngines};
 use crate::spread::{ScalingBounds, spread};
@@ -6,49 +6,50 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The engines of a zone, and what its unbound work takes of them.
+/// Engines of a zone and the slots that unbound work uses there.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneLoad {
-    /// The region of the zone; nothing if it is not known.
+    /// None if the region is unknown.
     pub region: Option<RegionName>,
     /// Engines that take work.
     pub engines: usize,
-    /// Places that work takes which is not bound to regions.
+    /// Slots in use by work that is not bound to regions.
     pub busy_slots: usize,
 }
 
-/// What work that is bound to regions takes, as its owner tells it.
+/// Load of region-bound work, as its owner reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BoundWork {
-    /// Places that it takes.
+    /// Slots in use.
     pub busy_slots: usize,
-    /// Places that it would take if there were enough.
+    /// Slots that the work would use if enough were free.
     pub requested_slots: usize,
 }
 
-/// Zones by name.
 pub type ZoneLoads = BTreeMap<ZoneName, ZoneLoad>;
-/// Bound work by the regions that it is bound to.
+/// Region-bound work by its allowed regions.
 pub type BoundWorkByRegions = BTreeMap<AllowedRegions, BoundWork>;
 
-/// Decides how many engines each zone of a service has: from all work together, and for each
-/// set of regions that work is bound to from what the engines there do.
+/// Decides how many engines each zone of a service has.
+///
+/// The total follows all work. For each set of regions with bound work, the load of the engines
+/// there sets a minimum for its zones.
 #[derive(Debug, Default)]
 pub struct FleetScaler {
     total: Scaler,
-    /// One for each set of regions that has work, or had until lately.
+    /// Scalers by set of regions, kept while the set has had work within the horizon.
     bound: BTreeMap<AllowedRegions, Scaler>,
 }
 
 impl FleetScaler {
-    /// A batch came, so long after the one before of the same model.
+    /// Records a batch. `since_previous` is the time since the previous batch of its model.
     pub fn record_batch(&mut self, now: Timestamp, since_previous: Option<Duration>) {
         self.total.record_batch(now, since_previous);
     }
 
-    /// Takes in what the engines do; called at even times. `unbound` is how many items run
-    /// that are not bound to regions: also those in zones that are left out of `zones`, for
-    /// they will come again elsewhere.
+    /// Records the load. Must be called at regular intervals. `unbound` counts all running items
+    /// that are not bound to regions, also in zones missing from `zones`, as their work moves to
+    /// the remaining zones.
     pub fn record_load(
         &mut self,
         now: Timestamp,
@@ -70,7 +71,7 @@
         self.bound.retain(|_, scaler| scaler.has_recent_batch(now));
     }
 
-    /// The load that is noted is not all: see [`Scaler::record_load_incomplete`].
+    /// Records that the load is incomplete, see [`Scaler::record_load_incomplete`].
     pub fn record_load_incomplete(&mut self, now: Timestamp) {
         self.total.record_load_incomplete(now);
         for scaler in self.bound.values_mut() {
@@ -78,12 +79,12 @@
         }
     }
 
-    /// A step is whole, after this part of the time that it has.
+    /// Records a completed step. `share` is its duration divided by its target duration.
     pub fn record_step(&mut self, now: Timestamp, share: f64) {
         self.total.record_step(now, share);
     }
 
-    /// A step of bound work is whole, after this part of the time that it has.
+    /// Records a completed step of region-bound work, see [`Self::record_step`].
     pub fn record_bound_step(&mut self, now: Timestamp, regions: &AllowedRegions, share: f64) {
         self.total.record_step(now, share);
         if let Some(scaler) = self.bound.get_mut(regions) {
@@ -91,9 +92,10 @@
         }
     }
 
-    /// How many engines each zone is to have, if another number is wanted anywhere. Those of
-    /// all zones together follow all work; the zones of a set of regions keep, or get, what
-    /// the work there needs.
+    /// Returns the new engine count of each zone, or None if no zone should change.
+    ///
+    /// The total follows all work, and the zones of a set of regions get at least the engines
+    /// that the work there requires.
     pub fn decide(
         &mut self,
         now: Timestamp,
@@ -124,8 +126,8 @@
         Some(spread(total, &names, bounds, &minimums))
     }
 
-    /// What the zones need for the work that is bound to their regions. Sets of fewer
-    /// regions first: what they need also serves those that may go further.
+    /// Returns the engines that each zone requires for region-bound work. Goes from smaller to
+    /// larger sets of regions, as engines for a smaller set also serve the larger ones.
     fn min_engines_by_zone(
         &self,
         now: Timestamp,
@@ -150,8 +152,8 @@
     }
 }
 
-/// Places that are busy in these regions: with unbound work that runs there and with work
-/// that may run nowhere else.
+/// Slots in use in these regions by unbound work that runs there and by work that may run
+/// nowhere else.
 fn busy_slots_within(
     regions: &AllowedRegions,
     zones: &ZoneLoads,
--- a/crates/sloetrail-scaling/src/lib.rs
+++ b/crates/sloetrail-scaling/src/lib.rs
@@ -1,19 +1,17 @@
-//! How many engines a service needs.
+//! Autoscaling: how many engines a service needs.
 //!
-//! The owner of a service tells a [`Scaler`] what its engines do ([`Scaler::record_load`])
-//! and how long steps take beside the time that they have ([`Scaler::record_step`]). From
-//! time to time it asks whether another number of engines is wanted
-//! ([`Scaler::decide`]), which is then spread over the zones ([`spread`]).
+//! The owner of a service records the load of its engines ([`Scaler::record_load`]) and the
+//! duration of steps relative to their target ([`Scaler::record_step`]). It periodically asks
+//! for a new engine count ([`Scaler::decide`]) and distributes it over the zones ([`spread`]).
 //!
-//! Engines are paid for while they have nothing to do, and new ones take seconds to
-//! start. So the number follows the work of the last few steps with room to spare: up at
-//! once, down slowly, and never down while steps take most of their time.
+//! Idle engines cost money, and new engines take seconds to start. The count therefore follows
+//! the load of the last few steps with headroom: it grows at once, shrinks gradually, and never
+//! shrinks while steps use most of their target duration.
 //!
-//! Where part of the work is bound to regions, a [`FleetScaler`] decides by zone: one
-//! scaler for all work, and one for each set of regions, which keeps or raises the numbers
-//! of its zones.
+//! Where part of the work is bound to regions, a [`FleetScaler`] decides per zone. It runs one
+//! scaler for all work and one for each set of regions, which sets a minimum for its zones.
 //!
-//! Nothing here does I/O or reads a clock.
+//! This crate does no I/O and reads no clock.
 
 mod fleet;
 mod scaler;
--- a/crates/sloetrail-scaling/src/scaler.rs
+++ b/crates/sloetrail-scaling/src/scaler.rs
@@ -1,43 +1,41 @@
-//! The decision on a number of engines.
+//! Decides the engine count of a service from its load and step durations.
 
 use crate::spread::ScalingBounds;
 use sloetrail_types::Timestamp;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The part of the places that is busy on average when the number of engines is right.
-/// The rest is for the beginning of steps, when all of their items want places, for
-/// changes of weights and for engines that are lost or slow.
+/// Mean share of slots in use that the engine count aims at. The headroom covers the start of
+/// steps, when all items need slots at once, weight changes, and lost or slow engines.
 const TARGET_UTILIZATION: f64 = 0.5;
-/// The load is averaged over so many periods of steps.
+/// Number of batch periods over which the load is averaged.
 const AVERAGED_PERIODS: u32 = 2;
 const MIN_HORIZON: Duration = Duration::from_secs(8);
 const MAX_HORIZON: Duration = Duration::from_secs(300);
-/// Weight of the last period in what is known of the period of steps.
+/// Weight of the latest batch period in the moving average.
 const PERIOD_SMOOTHING: f64 = 0.3;
-/// While a step took more than this part of its time lately, no engine is given back.
+/// No engines are released while a recent step used more than this share of its target duration.
 const MAX_STEP_SHARE_FOR_SHRINK: f64 = 0.85;
-/// From this part of its time on a step was late, or almost: more engines are wanted.
+/// A step that used at least this share of its target duration counts as late.
 const LATE_STEP_SHARE: f64 = 0.97;
-/// More engines help a late step only if those that there are were busy.
+/// Late steps add engines only at or above this utilization: idle engines mean another cause.
 const MIN_UTILIZATION_FOR_LATE_STEP: f64 = 0.35;
 const LATE_STEP_GROWTH_FACTOR: f64 = 1.2;
-/// The number changes by at most this much at a time.
+/// Bounds on the factor by which one decision changes the engine count.
 const MAX_GROWTH_FACTOR: f64 = 1.5;
 const MIN_SHRINK_FACTOR: f64 = 0.8;
-/// A smaller number is wanted only if it is smaller by this part.
+/// Smaller reductions than this share of the engines are not ordered.
 const MIN_REDUCTION_SHARE: f64 = 0.1;
-/// The least time between two changes, beside what new engines take to start.
+/// Minimum time between two changes; after growth, the boot time of engines is added.
 const MIN_CHANGE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// The engines of a service now.
+/// Engines of a service, or of the zones of a set of regions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServiceEngines {
     /// Engines that take work.
     pub engines: usize,
-    /// Items that one of them runs at a time.
     pub slots_per_engine: usize,
-    /// Zones that they are spread over.
+    /// Number of zones.
     pub zones: usize,
 }
 
@@ -53,23 +51,25 @@
     share: f64,
 }
 
-/// Decides how many engines a service has. It forgets all when its owner changes; the
-/// engines that there are tell what was decided before.
+/// Decides how many engines a service has.
+///
+/// Its state is lost when the owner of the service changes; the current engine count carries
+/// the previous decision over.
 #[derive(Debug, Default)]
 pub struct Scaler {
     loads: VecDeque<LoadSample>,
     steps: VecDeque<StepSample>,
-    /// The smoothed time between two batches of a model.
+    /// Moving average of the time between two batches of a model.
     period: Option<Duration>,
     first_batch_at: Option<Timestamp>,
     last_batch_at: Option<Timestamp>,
-    /// When the load that is noted was last not all.
+    /// When the recorded load was last incomplete.
     load_incomplete_at: Option<Timestamp>,
     next_change_at: Timestamp,
 }
 
 impl Scaler {
-    /// A batch came, so long after the one before of the same model.
+    /// Records a batch. `since_previous` is the time since the previous batch of its model.
     pub fn record_batch(&mut self, now: Timestamp, since_previous: Option<Duration>) {
         self.first_batch_at.get_or_insert(now);
         self.last_batch_at = Some(now);
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Takes in how many items run; called at even times.
+    /// Records how many items run. Must be called at regular intervals, as samples have equal
+    /// weight.
     pub fn record_load(&mut self, now: Timestamp, running: usize) {
         let horizon = self.horizon();
         self.loads.push_back(LoadSample { at: now, running });
@@ -96,21 +97,22 @@
         }
     }
 
-    /// The load that is noted is not all: work is held up by something else than the number of
-    /// engines, or others run work that is not counted. A load that is low for that reason
-    /// does not tell how many engines are needed.
+    /// Records that the load is incomplete: something other than the engine count limits the
+    /// work, or other owners run work that is not counted. No engines are released until the
+    /// load has been complete for a full horizon.
     pub fn record_load_incomplete(&mut self, now: Timestamp) {
         self.load_incomplete_at = Some(now);
     }
 
-    /// A step is whole, after this part of the time that it has.
+    /// Records a completed step. `share` is its duration divided by its target duration.
     pub fn record_step(&mut self, now: Timestamp, share: f64) {
         self.steps.push_back(StepSample { at: now, share });
     }
 
-    /// Another number of engines, if one is wanted. Engines are given back down to `floor`
-    /// only; fewer than that are no reason to order more, since somebody may have taken
-    /// them away on purpose. The caller orders the number.
+    /// Returns the new engine count, or None if it should not change.
+    ///
+    /// Engines are released only down to `baseline`. A count below the baseline is not raised
+    /// to it, as engines may have been removed on purpose. The caller must order the new count.
     pub fn decide(
         &mut self,
         now: Timestamp,
@@ -135,8 +137,8 @@
         Some(target)
     }
 
-    /// The number of engines that the work needs now, without a pause after the last change;
-    /// none for work that is over and where there is no engine to judge by.
+    /// Returns the engine count that the load requires, regardless of the cooldown. Zero without
+    /// recent batches or without engines to measure the load on.
     pub(crate) fn required_engines(
         &self,
         now: Timestamp,
@@ -149,17 +151,17 @@
         within_bounds(self.target(now, engines), engines, bounds)
     }
 
-    /// True if the last change may still be under way.
+    /// True while the last change may still be in progress.
     pub(crate) fn is_cooling_down(&self, now: Timestamp) -> bool {
         now < self.next_change_at
     }
 
-    /// Engines were ordered without a decision of this scaler.
+    /// Starts the cooldown after engines were ordered without a decision of this scaler.
     pub(crate) fn start_growth_cooldown(&mut self, now: Timestamp, bounds: &ScalingBounds) {
         self.next_change_at = now.after(MIN_CHANGE_INTERVAL + bounds.boot_time);
     }
 
-    /// Nothing is known of a service that has had no batch, or none for long.
+    /// False if no batch was recorded within the horizon; the load then says nothing.
     pub(crate) fn has_recent_batch(&self, now: Timestamp) -> bool {
         let last = self.last_batch_at;
         last.is_some_and(|at| now.since(at) <= self.horizon())
@@ -186,8 +188,8 @@
         }
     }
 
-    /// True once the load was seen for a whole horizon, since the first batch and since
-    /// the load was last not all.
+    /// True if the load was complete for a full horizon, counted from the first batch or from
+    /// the last incomplete sample.
     fn has_full_horizon(&self, now: Timestamp) -> bool {
         let since = self.first_batch_at.max(self.load_incomplete_at);
         let horizon = self.horizon();
--- a/crates/sloetrail-scaling/src/spread.rs
+++ b/crates/sloetrail-scaling/src/spread.rs
@@ -1,20 +1,17 @@
-//! A number of engines, spread over zones.
+//! Distribution of an engine count over zones.
 
 use sloetrail_types::ZoneName;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What may be ordered, and what it costs.
+/// Limits and costs of engine orders.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScalingBounds {
-    /// The least engines of a zone.
     pub min_per_zone: usize,
-    /// The most engines of a zone.
     pub max_per_zone: usize,
-    /// How long an engine takes to start.
+    /// Time that an engine takes to start.
     pub boot_time: Duration,
-    /// What an engine costs in each zone, in any unit that they have in common. A zone
-    /// that is not named costs one.
+    /// Price of an engine in each zone, in any common unit. Zones without an entry cost 1.
     pub zone_prices: BTreeMap<ZoneName, f64>,
 }
 
@@ -24,10 +21,11 @@
     }
 }
 
-/// Spreads engines evenly, so that the loss of a zone costs no more than its share; what
-/// cannot be divided goes to the cheapest zones. A zone gets at least what `least` names for
-/// it, also if these are more than the total; no zone gets fewer than the least or more than
-/// the most of the bounds.
+/// Distributes engines evenly over the zones, so that losing a zone costs no more than its
+/// share. The remainder goes to the cheapest zones.
+///
+/// Each zone gets at least its entry in `minimums`, even if their sum exceeds `total`, and
+/// always between `min_per_zone` and `max_per_zone` of the bounds.
 pub fn spread(
     total: usize,
     zones: &[ZoneName],
--- a/crates/sloetrail-scaling/src/tests.rs
+++ b/crates/sloetrail-scaling/src/tests.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// A service whose orders are carried out at once.
+/// A service whose orders take effect immediately.
 struct Service {
     scaler: Scaler,
     engines: usize,
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Goes on for some seconds with a batch every four, this many items running, and
-    /// steps that take this part of their time.
+    /// Advances the clock with a batch every [`PERIOD`], `running` items, and steps that take
+    /// `step_share` of their target duration.
     fn run(&mut self, seconds: u64, running: usize, step_share: f64) {
         let end_ms = self.now_ms + seconds * 1_000;
         while self.now_ms < end_ms {
@@ -72,10 +72,10 @@
 }
 
 #[test]
-fn engines_that_are_not_needed_are_given_back_step_by_step() {
+fn idle_engines_are_released_gradually() {
     let mut service = Service::new(35);
     service.run(60, 54, 0.7);
-    // Half of the places of 18 engines would be busy; a smaller change is not worth an order.
+    // The target is 18 engines, but the last reduction is too small to be ordered.
     assert_eq!(service.engines, 19, "{:?}", service.orders);
     let steps = [35].into_iter().chain(service.orders.iter().copied());
     let steps: Vec<usize> = steps.collect();
@@ -84,11 +84,11 @@
     }
     let orders = service.orders.len();
     service.run(60, 54, 0.7);
-    assert_eq!(service.orders.len(), orders, "it stays");
+    assert_eq!(service.orders.len(), orders, "the engine count stays");
 }
 
 #[test]
-fn nothing_is_given_back_before_the_first_steps_or_while_no_batch_comes() {
+fn engines_stay_without_recent_steps_or_batches() {
     let mut service = Service::new(35);
     for tick in 0..300 {
         let now = Timestamp(1_000 + tick * TICK_MS);
@@ -104,14 +104,14 @@
 }
 
 #[test]
-fn nothing_is_given_back_while_steps_take_most_of_their_time() {
+fn engines_stay_while_steps_use_most_of_their_target() {
     let mut service = Service::new(35);
     service.run(60, 54, 0.9);
     assert!(service.orders.is_empty(), "{:?}", service.orders);
 }
 
 #[test]
-fn a_load_that_is_low_because_work_is_held_up_gives_nothing_back() {
+fn an_incomplete_load_releases_no_engines() {
     let mut service = Service::new(20);
     service.run(30, 60, 0.7);
     for _ in 0..6 {
@@ -123,11 +123,14 @@
     service.run(7, 20, 0.7);
     assert!(service.orders.is_empty(), "{:?}", service.orders);
     service.run(10, 20, 0.7);
-    assert!(service.engines < 20, "it is seen again for a whole horizon");
+    assert!(
+        service.engines < 20,
+        "the load has been complete for a full horizon"
+    );
 }
 
 #[test]
-fn more_engines_are_ordered_when_places_are_busy_or_steps_are_late() {
+fn busy_slots_or_late_steps_add_engines() {
     let mut busy = Service::new(10);
     busy.run(30, 100, 0.7);
     assert!(busy.engines >= 33, "{:?}", busy.orders);
@@ -141,7 +144,7 @@
 }
 
 #[test]
-fn lost_engines_are_replaced_since_the_others_are_busier() {
+fn lost_engines_are_replaced() {
     let mut service = Service::new(20);
     service.run(30, 60, 0.7);
     assert!(service.orders.is_empty(), "{:?}", service.orders);
@@ -151,7 +154,7 @@
 }
 
 #[test]
-fn bounds_are_kept() {
+fn the_engine_count_stays_within_bounds() {
     let mut idle = Service::new(10);
     idle.run(120, 1, 0.5);
     assert_eq!(idle.engines, 4, "{:?}", idle.orders);
@@ -164,7 +167,7 @@
 }
 
 #[test]
-fn engines_are_spread_evenly_and_the_rest_goes_to_the_cheapest_zones() {
+fn engines_are_spread_evenly_with_remainder_to_cheapest_zones() {
     let zones: Vec<ZoneName> = ["a", "b", "c"].map(ZoneName::from).into();
     let shares = |total: usize| {
         let shares = spread(total, &zones, &bounds(), &BTreeMap::new());
@@ -179,7 +182,7 @@
 }
 
 #[test]
-fn what_was_added_is_given_back_but_no_more() {
+fn engines_are_released_down_to_the_baseline_only() {
     let mut service = Service::new(20);
     service.baseline = 20;
     service.run(60, 30, 0.7);
@@ -194,6 +197,6 @@
     assert_eq!(
         service.orders.len(),
         orders,
-        "taken away on purpose, and not missed"
+        "engines removed below the baseline are not replaced"
     );
 }
--- a/crates/sloetrail-scaling/src/tests/fleet.rs
+++ b/crates/sloetrail-scaling/src/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The engines of a service part of whose work is bound to regions.
+//! Tests of [`FleetScaler`] with region-bound work.
 
 use super::{PERIOD, TICK_MS};
 use crate::{
@@ -23,7 +23,7 @@
     AllowedRegions::only(names.iter().map(|name| RegionName::from(*name)))
 }
 
-/// Two zones in the north and one in the south; orders are carried out at once.
+/// Two zones in the north and one in the south. Orders take effect immediately.
 struct Service {
     scaler: FleetScaler,
     zones: ZoneLoads,
@@ -58,8 +58,8 @@
         ["n1", "n2", "s1"].map(|zone| self.engines(zone))
     }
 
-    /// Goes on for some seconds with a batch every four; bound work takes the places that it
-    /// wants as far as the engines of its regions have them.
+    /// Advances the clock with a batch every [`PERIOD`]. Bound work uses the slots that it
+    /// requests as far as the engines of its regions have them.
     fn run(&mut self, seconds: u64, regions: &AllowedRegions, requested: usize, step_share: f64) {
         let end_ms = self.now_ms + seconds * 1_000;
         while self.now_ms < end_ms {
@@ -81,7 +81,7 @@
                 .scaler
                 .decide(now, &self.zones, SLOTS, &bounds(), self.baseline);
             for (zone, engines) in decided.into_iter().flatten() {
-                let state = self.zones.get_mut(&zone).expect("a zone that there is");
+                let state = self.zones.get_mut(&zone).expect("a known zone");
                 self.orders += usize::from(state.engines != engines);
                 state.engines = engines;
             }
@@ -91,24 +91,29 @@
 }
 
 #[test]
-fn bound_work_raises_the_zones_of_its_regions_and_no_other() {
+fn bound_work_scales_only_zones_of_its_regions() {
     let mut service = Service::new(2);
     service.run(60, &only(&["north"]), 36, 0.7);
     let [n1, n2, s1] = service.all();
     assert!(
         n1 + n2 >= 12,
-        "half of the slots are busy: {:?}",
+        "at most half of the slots are busy: {:?}",
         service.all()
     );
     assert!(n1.abs_diff(n2) <= 1, "{:?}", service.all());
     assert!(s1 <= 2, "{:?}", service.all());
     let orders = service.orders;
     service.run(60, &only(&["north"]), 36, 0.7);
-    assert_eq!(service.orders, orders, "it stays: {:?}", service.all());
+    assert_eq!(
+        service.orders,
+        orders,
+        "the engine count stays: {:?}",
+        service.all()
+    );
 }
 
 #[test]
-fn zones_go_down_again_once_bound_work_has_ended() {
+fn zones_shrink_after_bound_work_ends() {
     let mut service = Service::new(2);
     service.run(60, &only(&["north"]), 36, 0.7);
     service.run(180, &only(&["north"]), 0, 0.7);
@@ -117,7 +122,7 @@
 }
 
 #[test]
-fn late_steps_of_bound_work_raise_their_zones_alone() {
+fn late_bound_steps_scale_only_their_zones() {
     let mut service = Service::new(6);
     service.run(20, &only(&["south"]), 16, 1.2);
     let [n1, n2, s1] = service.all();
@@ -126,14 +131,14 @@
 }
 
 #[test]
-fn the_most_of_a_zone_is_kept() {
+fn a_zone_never_exceeds_its_maximum() {
     let mut service = Service::new(2);
     service.run(120, &only(&["south"]), 1_000, 1.5);
     assert_eq!(service.engines("s1"), 12);
 }
 
 #[test]
-fn nothing_is_given_back_while_the_load_is_not_all() {
+fn an_incomplete_load_releases_no_engines() {
     let mut service = Service::new(2);
     service.run(60, &only(&["north"]), 36, 0.7);
     let before = service.all();
@@ -146,14 +151,14 @@
 }
 
 #[test]
-fn work_of_a_region_without_engines_orders_nothing() {
+fn work_bound_to_a_region_without_engines_orders_nothing() {
     let mut service = Service::new(2);
     service.run(30, &only(&["west"]), 10, 0.7);
     assert!(service.all().iter().all(|engines| *engines <= 2));
 }
 
 #[test]
-fn what_zones_need_is_kept_when_a_number_is_spread() {
+fn spread_respects_zone_minimums() {
     let zones: Vec<ZoneName> = ["a", "b", "c"].map(ZoneName::from).into();
     let minimums = [(ZoneName::from("b"), 5), (ZoneName::from("c"), 40)].into();
     let shares = spread(20, &zones, &bounds(), &minimums);
@@ -165,7 +170,7 @@
 }
 
 #[test]
-fn unbound_items_in_zones_that_are_left_out_count_for_the_number_of_all_engines() {
+fn unbound_items_in_excluded_zones_count_for_the_total() {
     let mut service = Service::new(2);
     service.zones.remove(&ZoneName::from("s1"));
     let now = Timestamp(service.now_ms);
--- a/crates/sloetrail-serving/src/cold_budgets.rs
+++ b/crates/sloetrail-serving/src/cold_budgets.rs
@@ -1,24 +1,23 @@
-//! What the cold back ends of a service may get, by the region that they lie in.
+//! Request budgets of the cold back ends of a service, by region.
 
 use sloetrail_balance::ColdBudget;
 use sloetrail_types::{AllowedRegions, RegionName};
 use std::collections::BTreeSet;
 
-/// What the cold back ends of a service may get, and who shares it.
+/// Request limits of a cold back end, and the senders that share them.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ColdBudgets {
-    /// Requests a second that one bears.
+    /// Requests per second that a cold back end sustains.
     pub(crate) bears: f64,
-    /// The most that may reach one in any second.
+    /// Maximum number of requests that may reach a back end in any second.
     pub(crate) most: f64,
-    /// The regions of the batches of each owner.
+    /// Allowed regions of the batches of each owner.
     pub(crate) owners: BTreeSet<AllowedRegions>,
-    /// True if live requests go to the service.
     pub(crate) has_live_requests: bool,
 }
 
 impl ColdBudgets {
-    /// What a back end of a region may get, shared by those who may send there.
+    /// Returns the budget of a back end in `region`, shared by all senders that may use it.
     pub(crate) fn for_region(&self, region: Option<&RegionName>) -> ColdBudget {
         let owners = self.owners.iter().filter(|owner| owner.allows(region));
         ColdBudget {
--- a/crates/sloetrail-serving/src/cold_budgets/tests.rs
+++ b/crates/sloetrail-serving/src/cold_budgets/tests.rs
@@ -11,7 +11,7 @@
 use sloetrail_types::{AllowedRegions, RegionName, RowVersion, ServiceName};
 
 #[test]
-fn a_back_end_is_shared_by_live_requests_and_the_owners_that_may_use_its_region() {
+fn live_requests_and_allowed_owners_share_a_back_end() {
     let only = |names: &[&str]| AllowedRegions::only(names.iter().copied().map(RegionName::from));
     let budgets = ColdBudgets {
         bears: 8.0,
@@ -31,13 +31,13 @@
     assert_eq!(ways(Some("north")), 4);
     assert_eq!(ways(Some("south")), 3);
     assert_eq!(ways(Some("east")), 2);
-    assert_eq!(ways(None), 2, "nothing that is bound goes there");
+    assert_eq!(ways(None), 2, "region-bound work never goes there");
     assert_eq!(budgets.for_region(None).bears, 8.0);
 }
 
-/// The owner of batches that an earlier configuration bound sends there as well.
+/// Batches accepted under an earlier configuration are still sent by their owner.
 #[test]
-fn the_owner_of_a_set_that_no_configuration_names_any_more_has_its_share() {
+fn owners_of_unconfigured_sets_still_have_a_share() {
     let configuration = json!({
         "version": 1,
         "routes": [{"name": "rollout", "host": "a.example", "path_prefix": "/r/",
@@ -71,5 +71,5 @@
     let leased = LeasedSets::of_view(&leases);
     assert_eq!(ways(&LeasedSets::default(), "north"), 1);
     assert_eq!(ways(&leased, "north"), 2);
-    assert_eq!(ways(&leased, "south"), 2, "the owners that are configured");
+    assert_eq!(ways(&leased, "south"), 2, "configured owners only");
 }
--- a/crates/sloetrail-serving/src/engine_supply.rs
+++ b/crates/sloetrail-serving/src/engine_supply.rs
@@ -1,36 +1,33 @@
-//! Whoever starts engines and takes them away.
+//! Interface to the platform that starts and stops engines.
 
 use crate::lease_holder::LeaseHolder;
 use async_trait::async_trait;
 use sloetrail_types::{ServiceName, ZoneName};
 use std::time::Duration;
 
-/// How many engines of a service a zone is to have.
+/// The engine count that a zone should have for a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SupplyOrder {
-    /// The service.
     pub service: ServiceName,
-    /// The zone.
     pub zone: ZoneName,
-    /// The number, with those that are there.
+    /// Total count, including the engines that already run.
     pub engines: usize,
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SupplyAnswer {
-    /// It is being carried out.
     Accepted,
-    /// A later holder has given orders already.
+    /// A later lease holder has already given orders.
     Fenced,
-    /// There are none to be had now, or the order cannot be carried out; the status.
+    /// No capacity, or the order cannot be carried out. Holds the HTTP status.
     Refused(u16),
-    /// Nothing was answered, or not now: it may or may not be carried out.
+    /// No usable answer: the order may or may not take effect.
     Unknown,
 }
 
 impl SupplyAnswer {
-    /// A word for logs and metrics.
+    /// Label for logs and metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             SupplyAnswer::Accepted => "accepted",
@@ -40,7 +37,7 @@
         }
     }
 
-    /// The status of a refusal.
+    /// Returns the HTTP status of a refusal.
     pub(crate) fn status(self) -> Option<u16> {
         match self {
             SupplyAnswer::Refused(status) => Some(status),
@@ -49,11 +46,11 @@
     }
 }
 
-/// Whoever starts engines and takes them away. Orders name the whole number, so that one
-/// that is given twice changes nothing.
+/// Starts and stops engines. Orders name the total count, so that repeating an order has no
+/// effect.
 #[async_trait]
 pub trait EngineSupply: Send + Sync {
-    /// Gives an order; gives up after `patience`.
+    /// Sends an order and waits up to `timeout` for the answer.
     async fn order(
         &self,
         order: &SupplyOrder,
--- a/crates/sloetrail-serving/src/owner/reward.rs
+++ b/crates/sloetrail-serving/src/owner/reward.rs
@@ -1,5 +1,5 @@
-//! Scoring a whole text: a live request to another service, once for each turn that it gets
-//! ([`super::reward_queue`]).
+//! Scores a complete text with a live request to another service. Each attempt is scheduled by
+//! [`super::reward_queue`].
 
 use super::reward_queue::ScoringTarget;
 use crate::context::NodeContext;
@@ -18,32 +18,30 @@
 use std::sync::Arc;
 use tokio_util::sync::CancellationToken;
 
-/// How one try to score a text ended.
+/// Outcome of one attempt to score a text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum RewardOutcome {
-    /// The signature of the answer.
+    /// Holds the signature of the answer.
     Scored(String),
-    /// There is no score.
     NoScore(RewardFailure),
-    /// The owner gave it up.
+    /// The owner cancelled the attempt.
     Cancelled,
 }
 
-/// What a try that gave no score tells.
+/// Details of an attempt without a score.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RewardFailure {
-    /// Answers that say that the call itself failed.
+    /// Answers that report a failure of the call itself.
     pub(super) failed_answers: usize,
-    /// With so many of these the call is given up.
+    /// The call fails for good at this number of failed answers.
     pub(super) max_failures: usize,
-    /// True if nothing was sent, since no back end had a place.
+    /// True if nothing was sent because no back end had a free slot.
     pub(super) found_no_slot: bool,
-    /// True if nothing was sent, since back ends crash under the call.
+    /// True if nothing was sent because the call is quarantined.
     pub(super) is_withheld: bool,
 }
 
-/// The place among texts that are to be scored, for an item of a batch that is bound to these
-/// regions.
+/// Returns the target of a reward call for a batch that is bound to `regions`.
 pub(super) fn scoring_target(
     context: &NodeContext,
     reward: &RewardCall,
@@ -62,8 +60,8 @@
     }
 }
 
-/// Makes a reward call once, as often as its route allows, for an item of a batch that is
-/// bound to these regions; `failures` are those before.
+/// Makes a reward call for an item of a batch that is bound to `regions`, with as many attempts
+/// as the route allows. `failures` counts the failed answers of earlier calls, for the log.
 pub(super) async fn score(
     context: &Arc<NodeContext>,
     item: &str,
@@ -118,7 +116,7 @@
     RewardOutcome::NoScore(failure)
 }
 
-/// The score that an answer gives, if it gives one.
+/// Returns the signature header of a successful answer.
 fn score_of(context: &NodeContext, answer: &WholeAnswer) -> Option<String> {
     let name = &context.dialect.headers().signature;
     let signature = headers::text(&answer.headers, name).map(str::to_owned);
@@ -153,9 +151,8 @@
     })
 }
 
-/// Where a text may be scored: in the regions of the reward call's route, and of these in
-/// those of its batch. A batch whose regions have none in common with the route's was
-/// accepted all the same; the route's bind then.
+/// Returns the regions that both the reward call's route and the batch allow. If they have none
+/// in common, the regions of the route apply.
 fn scoring_regions(of_route: &AllowedRegions, of_batch: &AllowedRegions) -> AllowedRegions {
     let common = of_route.and(of_batch);
     match common.is_nowhere() {
@@ -164,7 +161,7 @@
     }
 }
 
-/// A service by weight, drawn from the call's id.
+/// Chooses a service by weight, deterministically for a call id.
 fn choose_service(route: &Route, id: &str) -> Option<ServiceName> {
     let offset = sloetrail_types::digest(id.as_bytes()) as f64 / u64::MAX as f64;
     let part = WeightedChoice::new(offset).next(&route.services)?.clone();
--- a/crates/sloetrail-serving/src/owner/reward_queue.rs
+++ b/crates/sloetrail-serving/src/owner/reward_queue.rs
@@ -1,9 +1,9 @@
-//! Which whole text is scored next, and how many at a time.
+//! Queue of complete texts that wait to be scored.
 //!
-//! Hundreds of texts may become whole at once, and the applications that score them have a
-//! few dozen places. So no more are under way than this node may have there; the others
-//! wait here without asking, those of groups that a trainer waits for first, and of these
-//! the oldest. While there is no place at all, one text at a time asks now and then.
+//! Far more texts may complete at once than the scoring applications have slots. At most as
+//! many scoring calls are in flight as this node may use slots; other texts wait here, those of
+//! required groups first, then by age of the batch. While no slot is free, one text at a time
+//! is retried after a delay.
 
 use sloetrail_batch::{BatchId, ItemIndex};
 use sloetrail_clock::BootInstant;
@@ -11,39 +11,36 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a text rests after a failure, and the texts of a lane after one of them has found
-/// no place: a back end that was lost is left alone for 60 ms at first, and the directory
-/// tells of changes within 0.1 s.
+/// Delay of a text after a failure, and of all texts of a target after an attempt found no free
+/// slot.
 const RETRY_DELAY: Duration = Duration::from_millis(80);
 
-/// How long a text rests that is kept from back ends: it may be tried, or is released, seconds
-/// later at the soonest.
+/// Delay of a text whose call is quarantined.
 const WITHHELD_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Texts that need places at the same back ends.
+/// The back ends that may score a text. Texts with the same target compete for the same slots.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ScoringTarget {
-    /// The service; nothing while no route leads to one.
+    /// None while no route leads to a service.
     pub(super) service: Option<ServiceName>,
-    /// Where the texts may be scored.
+    /// Regions where the texts may be scored.
     pub(super) regions: AllowedRegions,
 }
 
-/// A text that is to be scored.
+/// A complete text that needs a score.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct ScoringTask {
     pub(super) batch: BatchId,
     pub(super) index: ItemIndex,
     pub(super) target: ScoringTarget,
     pub(super) rank: Rank,
-    /// Answers of failure so far.
+    /// Failed answers so far.
     pub(super) failures: usize,
-    /// The number of its arrival in the queue.
+    /// Sequence number in the order of arrival.
     arrival: u64,
 }
 
 impl ScoringTask {
-    /// A text that was not tried yet.
     pub(super) fn new(batch: BatchId, index: ItemIndex, target: ScoringTarget, rank: Rank) -> Self {
         Self {
             batch,
@@ -56,29 +53,29 @@
     }
 }
 
-/// The order among texts: the lowest goes first.
+/// Scoring order; the lowest rank goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
-    /// False if the trainer waits for the text's group.
+    /// False if the text's group is required.
     pub(super) is_optional: bool,
-    /// The order among batches.
+    /// Urgency of the batch, then its acceptance time.
     pub(super) batch: (Urgency, u64),
 }
 
-/// What became of one try at a score.
+/// Outcome of an attempt, as far as the queue is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ScoringOutcome {
-    /// The text needs no other.
+    /// The text needs no further attempt.
     Settled,
-    /// It was sent and has no score; it is tried again after a pause.
+    /// The call was sent but gave no score. The text is retried after a delay.
     Failed,
-    /// No back end had a place; it is tried again once one may have.
+    /// No back end had a free slot. The text keeps its position, and its target is delayed.
     NoFreeSlot,
-    /// Back ends crash under it, and it was not sent; others go on meanwhile.
+    /// The call is quarantined and was not sent. Other texts of its target are not delayed.
     Withheld,
 }
 
-/// Texts wait in the order of their ranks, and with the same rank of their arrivals.
+/// Texts are ordered by rank, then by arrival.
 type QueuePosition = (Rank, u64);
 
 #[derive(Debug, Default)]
@@ -98,17 +95,16 @@
     }
 }
 
-/// The texts of one owner that are to be scored.
+/// Texts of one owner that need a score.
 #[derive(Debug, Default)]
 pub(super) struct RewardQueue {
     targets: BTreeMap<ScoringTarget, TargetQueue>,
-    /// Those that failed, and until when they rest, the first to be tried again first.
+    /// Texts that wait for a retry, ordered by the time of the retry.
     delayed: Vec<(BootInstant, ScoringTask)>,
     arrivals: u64,
 }
 
 impl RewardQueue {
-    /// Takes in a text.
     pub(super) fn push(&mut self, mut scoring: ScoringTask) {
         self.arrivals += 1;
         scoring.arrival = self.arrivals;
@@ -121,9 +117,9 @@
         target.waiting.insert(position, scoring);
     }
 
-    /// Takes out the texts to score now; each is under way until [`RewardQueue::tried`].
-    /// `places` tells how many of a lane may be under way. One may be in any case: it finds
-    /// out whether there is a place again.
+    /// Removes the texts to score now. Each is in flight until [`RewardQueue::finish_attempt`].
+    /// `slots` returns how many texts of a target may be in flight; one always may, to detect
+    /// when a slot is free again.
     pub(super) fn start(
         &mut self,
         now: BootInstant,
@@ -135,8 +131,8 @@
             if state.waiting.is_empty() || state.is_delayed(now) {
                 continue;
             }
-            let max_in_flight = slots(target).max(1);
-            while state.in_flight < max_in_flight
+            let limit = slots(target).max(1);
+            while state.in_flight < limit
                 && let Some((_, scoring)) = state.waiting.pop_first()
             {
                 state.in_flight += 1;
@@ -146,7 +142,7 @@
         started
     }
 
-    /// Takes in what became of a text that was under way.
+    /// Records the outcome of an attempt for a text that was in flight.
     pub(super) fn finish_attempt(
         &mut self,
         now: BootInstant,
@@ -169,7 +165,7 @@
         self.targets.retain(|_, target| !target.is_empty());
     }
 
-    /// Drops the texts that need no score any more and are not under way.
+    /// Drops waiting and delayed texts that need no score any more. Texts in flight stay.
     pub(super) fn retain(&mut self, is_needed: impl Fn(&ScoringTask) -> bool) {
         for target in self.targets.values_mut() {
             target.waiting.retain(|_, scoring| is_needed(scoring));
@@ -178,7 +174,7 @@
         self.targets.retain(|_, target| !target.is_empty());
     }
 
-    /// When a rest ends after which something may be started that is not now.
+    /// Returns when the next delay ends.
     pub(super) fn next_due(&self, now: BootInstant) -> Option<BootInstant> {
         let targets = self
             .targets
@@ -192,7 +188,7 @@
             .min()
     }
 
-    /// How many texts wait.
+    /// Returns the number of waiting and delayed texts.
     pub(super) fn waiting(&self) -> usize {
         let waiting = self.targets.values().map(|target| target.waiting.len());
         waiting.sum::<usize>() + self.delayed.len()
--- a/crates/sloetrail-serving/src/owner/reward_queue/tests.rs
+++ b/crates/sloetrail-serving/src/owner/reward_queue/tests.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn no_more_are_under_way_than_there_are_places() {
+fn texts_in_flight_never_exceed_slots() {
     let now = BootInstant::now();
     let mut queue = queue((0..300).map(text));
     let started = queue.start(now, |_| 5);
@@ -50,12 +50,16 @@
         queue.finish_attempt(now, text, ScoringOutcome::Settled);
     }
     assert_eq!(start(&mut queue, now, 5), [5, 6]);
-    assert_eq!(start(&mut queue, now, 3), [0_usize; 0], "slots have gone");
+    assert_eq!(
+        start(&mut queue, now, 3),
+        [0_usize; 0],
+        "fewer slots than texts in flight"
+    );
     assert_eq!(queue.waiting(), 293);
 }
 
 #[test]
-fn groups_that_a_trainer_waits_for_go_first_then_the_oldest() {
+fn required_groups_go_first_then_the_oldest() {
     let now = BootInstant::now();
     let mut queue = queue([
         text_in("app", "young", 0, true, 1),
@@ -67,28 +71,31 @@
 }
 
 #[test]
-fn while_there_is_no_place_one_asks_now_and_then_and_none_loses_its_turn() {
+fn one_text_probes_for_slots_and_all_keep_their_order() {
     let now = BootInstant::now();
     let mut queue = queue((0..300).map(text));
-    let mut asked = 0;
+    let mut attempts = 0;
     let end = now + Duration::from_secs(1);
     let mut moment = now;
     while moment < end {
         for text in queue.start(moment, |_| 0) {
             assert_eq!(text.index, 0);
-            asked += 1;
+            attempts += 1;
             queue.finish_attempt(moment, text, ScoringOutcome::NoFreeSlot);
         }
         moment += Duration::from_millis(1);
     }
-    assert!((10..=13).contains(&asked), "{asked} in a second");
+    assert!(
+        (10..=13).contains(&attempts),
+        "{attempts} attempts in a second"
+    );
     assert_eq!(queue.waiting(), 300);
     let first = start(&mut queue, end + RETRY_DELAY, 3);
-    assert_eq!(first, [0, 1, 2], "slots are there again");
+    assert_eq!(first, [0, 1, 2], "texts start in order once slots are free");
 }
 
 #[test]
-fn a_text_that_failed_rests_and_holds_nobody_up() {
+fn a_failed_text_is_delayed_without_blocking_others() {
     let now = BootInstant::now();
     let mut queue = queue((0..3).map(text));
     for text in queue.start(now, |_| 1) {
@@ -101,7 +108,7 @@
 }
 
 #[test]
-fn a_service_without_places_holds_no_other_one_up() {
+fn a_service_without_slots_does_not_block_others() {
     let now = BootInstant::now();
     let mut queue = queue([
         text_in("away", "b1", 0, false, 1),
@@ -121,7 +128,7 @@
 }
 
 #[test]
-fn what_needs_no_score_any_more_is_dropped() {
+fn texts_that_need_no_score_are_dropped() {
     let now = BootInstant::now();
     let mut queue = queue((0..4).map(text));
     for text in queue.start(now, |_| 1) {
--- a/crates/sloetrail-serving/src/owner/slot_demand/received.rs
+++ b/crates/sloetrail-serving/src/owner/slot_demand/received.rs
@@ -1,4 +1,4 @@
-//! What the owners of bound batches have told of their demand.
+//! Slot demands received from the owners of region-bound batches.
 
 use super::{DEMAND_VALIDITY, DemandRow};
 use crate::follow::TableView;
@@ -8,29 +8,27 @@
 use sloetrail_types::{AllowedRegions, RowVersion, ServiceName};
 use std::collections::BTreeMap;
 
-/// A step of bound work that an owner has told.
+/// A completed step of region-bound work, reported by its owner.
 #[derive(Clone, Debug, PartialEq)]
 pub(in crate::owner) struct BoundStep {
-    /// The regions that the work is bound to.
     pub(in crate::owner) regions: AllowedRegions,
-    /// The part of its time that it took.
+    /// Duration of the step divided by its target duration.
     pub(in crate::owner) share: f64,
 }
 
-/// The demand rows of a service, as the view of the lease rows has them.
+/// Demand rows of a service, read from the view of the lease table.
 #[derive(Debug, Default)]
 pub(in crate::owner) struct ReceivedDemands {
     rows: BTreeMap<AllowedRegions, ReceivedRow>,
-    /// The version of each row by its key, also of those that cannot be read.
+    /// Version of each row by key, including rows that cannot be decoded.
     versions: BTreeMap<String, RowVersion>,
 }
 
-/// A row, and how long it counts.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedRow {
     row: DemandRow,
-    /// From when on the row ages: when it was written, or, if the table was away while it
-    /// counted, when the table was last known not to answer. Nobody could write until then.
+    /// Start of the row's age: its write time, or the last known outage of the table while the
+    /// row was current, as no owner could rewrite it during the outage.
     ages_from_ms: u64,
 }
 
@@ -42,7 +40,7 @@
         }
     }
 
-    /// A row without demand holds until its owner writes another one.
+    /// A row without demand never expires.
     fn is_current(&self, now_ms: u64) -> bool {
         let age_ms = now_ms.saturating_sub(self.ages_from_ms);
         self.row.demand.is_idle() || u128::from(age_ms) <= DEMAND_VALIDITY.as_millis()
@@ -50,7 +48,7 @@
 }
 
 impl ReceivedDemands {
-    /// The table does not answer now; rows that count do not age meanwhile.
+    /// Records that the table does not answer, so that current rows do not expire meanwhile.
     pub(in crate::owner) fn record_table_outage(&mut self, now_ms: u64) {
         let rows = self.rows.values_mut();
         for received in rows.filter(|received| received.is_current(now_ms)) {
@@ -58,8 +56,8 @@
         }
     }
 
-    /// Takes in the rows of a service; the steps that are told in new ones, unless these are
-    /// as old as those that count no more.
+    /// Applies the rows of a service. Returns the steps reported in new rows that have not
+    /// expired.
     pub(in crate::owner) fn apply_view(
         &mut self,
         view: &TableView,
@@ -101,7 +99,7 @@
         })
     }
 
-    /// What bound work takes now, as far as its owners are heard of.
+    /// Returns the region-bound work of all current rows.
     pub(in crate::owner) fn bound_work(&self, now_ms: u64) -> BoundWorkByRegions {
         let current = self.rows.iter();
         let current = current.filter(|(_, received)| received.is_current(now_ms));
@@ -114,8 +112,7 @@
             .collect()
     }
 
-    /// True if the owner of a set has told what its batches take, with those that were
-    /// accepted at `since_ms`.
+    /// True if the current row of a set includes batches that were accepted at `since_ms`.
     pub(in crate::owner) fn covers(
         &self,
         regions: &AllowedRegions,
@@ -128,7 +125,7 @@
     }
 }
 
-/// The keys of demand rows, with the sets that they are of.
+/// Returns the keys of demand rows with their batch sets.
 fn demand_keys(view: &TableView) -> impl Iterator<Item = (&String, BatchSet)> {
     let keys = view.rows.keys();
     keys.filter_map(|key| {
--- a/crates/sloetrail-serving/src/owner/slot_demand/reporter.rs
+++ b/crates/sloetrail-serving/src/owner/slot_demand/reporter.rs
@@ -1,9 +1,9 @@
-//! When the owner of bound batches reports what they take.
+//! Decides when the owner of region-bound batches reports their demand.
 
 use super::{MIN_REPORT_INTERVAL, REFRESH_INTERVAL, SlotDemand, StoredDemand};
 use sloetrail_clock::BootInstant;
 
-/// Gathers what the batches of an owner take, and tells when a row is due.
+/// Aggregates the demand of an owner's batches over reporting periods.
 #[derive(Debug)]
 pub(in crate::owner) struct DemandReporter {
     busy_sum: usize,
@@ -11,13 +11,13 @@
     wanted: usize,
     step_percent: Option<u32>,
     period_start: BootInstant,
-    /// The row that is being written.
+    /// Demand whose write has not completed.
     in_flight: Option<SlotDemand>,
 }
 
 impl DemandReporter {
-    /// A reporter of a new owner. Its first row is due after a period: until then it loads
-    /// batches, and the row of the owner before it holds.
+    /// Creates the reporter of a new owner. The first report is due after one period: until
+    /// then the owner loads its batches, and the previous owner's row stays in force.
     pub(in crate::owner) fn new(now: BootInstant) -> Self {
         Self {
             busy_sum: 0,
@@ -29,28 +29,28 @@
         }
     }
 
-    /// Takes in how many items run, and how many would if there were places; called at even
-    /// times.
+    /// Records how many items run, and how many would if enough slots were free. Must be called
+    /// at regular intervals, as samples have equal weight.
     pub(in crate::owner) fn record(&mut self, running: usize, wanted: usize) {
         self.busy_sum += running;
         self.samples += 1;
         self.wanted = wanted;
     }
 
-    /// A step is whole, after this part of the time that it had.
+    /// Records a completed step. `share` is its duration divided by its target duration.
     pub(in crate::owner) fn record_step(&mut self, share: f64) {
         let percent = (share * 100.0).ceil().clamp(0.0, f64::from(u32::MAX)) as u32;
         self.step_percent = self.step_percent.max(Some(percent));
     }
 
-    /// True if it is time to look whether a row is to be written.
+    /// True if the period is over and no write is in flight.
     pub(in crate::owner) fn is_due(&self, now: BootInstant) -> bool {
         let period = now.saturating_duration_since(self.period_start);
         self.in_flight.is_none() && period >= MIN_REPORT_INTERVAL
     }
 
-    /// Ends a period; the demand to be written, if it is other than the one that is stored,
-    /// or that one would age out.
+    /// Ends a period. Returns the demand to write if it differs from the stored one, reports a
+    /// step, or must refresh the stored row.
     pub(in crate::owner) fn end_period(
         &mut self,
         now: BootInstant,
@@ -65,7 +65,7 @@
         self.period_start = now;
         self.busy_sum = 0;
         self.samples = 0;
-        // Steps are told one by one, also if two took the same time.
+        // Each step is reported, even if the demand is unchanged.
         if demand.step_percent.is_none() && is_current(demand, stored, now_ms) {
             return None;
         }
@@ -74,7 +74,7 @@
         Some(demand)
     }
 
-    /// The row was written, or was not. Steps that it told are told again in the latter case.
+    /// Records the outcome of a write. Steps of a failed write are reported again.
     pub(in crate::owner) fn record_write(&mut self, is_committed: bool) {
         let Some(demand) = self.in_flight.take() else {
             return;
@@ -85,7 +85,7 @@
     }
 }
 
-/// True if what is stored tells the same, and will not age out before the next period ends.
+/// True if the stored row equals `demand` and needs no refresh.
 fn is_current(demand: SlotDemand, stored: StoredDemand, now_ms: u64) -> bool {
     match stored {
         StoredDemand::Absent => demand.is_idle(),
--- a/crates/sloetrail-serving/src/owner/slot_demand/tests.rs
+++ b/crates/sloetrail-serving/src/owner/slot_demand/tests.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_row_is_written_when_the_demand_changes_and_again_before_it_ages_out() {
+fn rows_are_written_on_change_and_before_expiry() {
     let began = BootInstant::now();
     let mut reporter = DemandReporter::new(began);
     let mut stored: Option<DemandRow> = None;
@@ -109,13 +109,16 @@
     let gaps = written.windows(2).map(|pair| pair[1].0 - pair[0].0);
     assert!(gaps.min() >= Some(20), "{written:?}");
     assert!(written.len() <= 8, "{written:?}");
-    assert_eq!(written[0].1.wanted, 7, "nothing before there is work");
+    assert_eq!(
+        written[0].1.wanted, 7,
+        "no row is written before there is work"
+    );
     let last = written.last().expect("some").1;
     assert!(last.is_idle(), "{written:?}");
 }
 
 #[test]
-fn a_new_owner_leaves_the_row_before_it_alone_for_a_period_and_then_corrects_it() {
+fn a_new_owner_replaces_the_previous_row_after_one_period() {
     let began = BootInstant::now();
     let mut reporter = DemandReporter::new(began);
     let stored = StoredDemand::Row(row(demand(9), 4, AT_MS));
@@ -129,7 +132,7 @@
 }
 
 #[test]
-fn a_row_that_cannot_be_read_is_written_over_and_an_idle_owner_leaves_the_others_alone() {
+fn an_idle_owner_overwrites_only_unreadable_rows() {
     let began = BootInstant::now();
     let idle = SlotDemand::default();
     let later = began + MIN_REPORT_INTERVAL;
@@ -141,7 +144,7 @@
 }
 
 #[test]
-fn a_step_is_told_once_and_again_if_the_row_was_not_written() {
+fn a_step_is_reported_again_only_after_a_failed_write() {
     let began = BootInstant::now();
     let mut reporter = DemandReporter::new(began);
     reporter.record(3, 3);
@@ -175,7 +178,7 @@
 }
 
 #[test]
-fn the_row_of_a_dead_owner_ages_out_but_not_while_the_table_is_away() {
+fn rows_expire_but_not_during_a_table_outage() {
     let mut received = receive(&[(NAME, row(demand(5), 1, AT_MS))]);
     let just = Duration::from_millis(1);
     assert_eq!(busy(&received, after(DEMAND_VALIDITY)), 5);
@@ -187,7 +190,7 @@
 }
 
 #[test]
-fn a_row_without_demand_holds_but_does_not_cover_batches_that_came_after_it() {
+fn an_idle_row_does_not_cover_later_batches() {
     let received = receive(&[(NAME, row(SlotDemand::default(), 1, AT_MS))]);
     let late = after(DEMAND_VALIDITY * 10);
     assert!(received.covers(&north(), AT_MS, late));
@@ -195,7 +198,7 @@
 }
 
 #[test]
-fn a_later_owners_row_takes_the_place_of_the_one_before() {
+fn a_later_owners_row_replaces_the_earlier_one() {
     let service = ServiceName::from("models");
     let mut view = TableView::empty();
     let mut received = ReceivedDemands::default();
@@ -211,13 +214,13 @@
     assert!((steps[0].share - 1.2).abs() < 1e-9);
     assert!(
         received.apply_view(&view, &service, AT_MS).is_empty(),
-        "told once"
+        "a step is returned once"
     );
     assert_eq!(busy(&received, AT_MS), 2);
 }
 
 #[test]
-fn a_new_owner_that_orders_takes_no_steps_from_rows_that_have_aged() {
+fn expired_rows_report_no_steps_to_a_new_owner() {
     let mut view = TableView::empty();
     let late = SlotDemand {
         step_percent: Some(120),
@@ -231,7 +234,7 @@
 }
 
 #[test]
-fn rows_of_other_services_and_rows_that_cannot_be_read_do_not_count() {
+fn unreadable_rows_and_rows_of_other_services_are_ignored() {
     let service = ServiceName::from("models");
     let mut view = TableView::empty();
     let encoded = row(demand(5), 1, AT_MS).encode();
@@ -247,31 +250,31 @@
 }
 
 #[test]
-fn a_row_that_has_aged_out_stays_so_when_the_table_was_away_later() {
+fn an_expired_row_stays_expired_after_a_table_outage() {
     let mut received = receive(&[(NAME, row(demand(5), 1, AT_MS))]);
-    let away = after(DEMAND_VALIDITY * 10);
-    assert_eq!(busy(&received, away), 0);
-    received.record_table_outage(away);
+    let outage_at_ms = after(DEMAND_VALIDITY * 10);
+    assert_eq!(busy(&received, outage_at_ms), 0);
+    received.record_table_outage(outage_at_ms);
     assert_eq!(
-        busy(&received, away),
+        busy(&received, outage_at_ms),
         0,
-        "its owner had ceased to write before"
+        "its owner stopped writing before the outage"
     );
-    assert!(!received.covers(&north(), AT_MS, away));
+    assert!(!received.covers(&north(), AT_MS, outage_at_ms));
 }
 
 #[test]
-fn an_aged_row_tells_no_step_to_a_new_owner_just_after_the_table_was_away() {
+fn an_expired_row_reports_no_step_after_a_table_outage() {
     let mut view = TableView::empty();
     let late = SlotDemand {
         step_percent: Some(120),
         ..demand(2)
     };
     put(&mut view, NAME, 1, row(late, 1, AT_MS).encode());
-    let away = after(DEMAND_VALIDITY * 10);
+    let outage_at_ms = after(DEMAND_VALIDITY * 10);
     let mut received = ReceivedDemands::default();
-    received.record_table_outage(away);
-    let steps = received.apply_view(&view, &ServiceName::from("models"), away);
+    received.record_table_outage(outage_at_ms);
+    let steps = received.apply_view(&view, &ServiceName::from("models"), outage_at_ms);
     assert!(steps.is_empty(), "{steps:?}");
-    assert_eq!(busy(&received, away), 0);
+    assert_eq!(busy(&received, outage_at_ms), 0);
 }
--- a/crates/sloetrail-serving/src/owner/slot_usage.rs
+++ b/crates/sloetrail-serving/src/owner/slot_usage.rs
@@ -1,54 +1,53 @@
-//! How much of their engines' room the models use.
+//! Slot utilization of each model's engines.
 
 use std::collections::BTreeMap;
 
-/// Weight of one observation in the average; they come ten times a second.
+/// Weight of one observation in the average, at ten observations per second.
 const SMOOTHING: f64 = 0.012;
-/// What is left of a peak after one observation.
+/// Factor by which the peak decays per observation.
 const PEAK_DECAY: f64 = 0.99;
-/// Places that should be ready for use, for each one used at the peak.
-const READY_SLOTS_PER_PEAK_SLOT: f64 = 2.0;
-/// Engines that should have the newest version, for each place in use on average.
-const NEWEST_SLOTS_PER_USED_SLOT: f64 = 2.0;
+/// Ratio of the share of ready engines to the peak share of slots used.
+const READY_SHARE_FACTOR: f64 = 2.0;
+/// Ratio of the share of ready engines with the newest version to the mean share of slots used.
+const NEWEST_SHARE_FACTOR: f64 = 2.0;
 const MIN_NEWEST_SHARE: f64 = 0.5;
 
-/// From this share of places used on average on, places are scarce: below it a step is
-/// as long as its longest text, above it as long as its work.
+/// Slots are scarce above this mean utilization: a step's duration then depends on its total
+/// work rather than on its longest text.
 const SCARCITY_THRESHOLD: f64 = 0.75;
-/// Looks since the first item before that is judged.
+/// Minimum number of observations, counted from the first item, before slots count as scarce.
 const MIN_OBSERVATIONS: u32 = 30;
-/// Weight of one observation in that average, once there were many.
+/// Lower bound on the weight of one observation in the average since the first item.
 const MIN_SCARCITY_WEIGHT: f64 = 0.02;
 
 #[derive(Clone, Copy, Debug)]
 struct Usage {
     average: f64,
-    /// Looks since the first item.
+    /// Observations since the first item.
     observations: u32,
-    /// The average since then, which does not begin from the quiet before.
+    /// Average since the first item, so that the idle time before it does not count.
     average_since_first: f64,
     peak: f64,
 }
 
-/// The items of a model that are open.
+/// Open items of a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct OpenItems {
-    /// Those that run or wait for a place.
+    /// Items that run or wait for a slot.
     pub(super) all: usize,
-    /// Of these, the most that are to run at a time.
+    /// Maximum number of these items to run at the same time.
     pub(super) max_concurrent: usize,
 }
 
-/// The share of the places in use, by model.
+/// Share of slots in use, by model.
 #[derive(Debug, Default)]
 pub(super) struct SlotUsage {
     models: BTreeMap<String, Usage>,
 }
 
 impl SlotUsage {
-    /// Takes in how many places a model's items take of those that its engines have;
-    /// items that wait for a place take one as well. Those that are held back on purpose
-    /// need no place yet, but show how scarce places are.
+    /// Records an observation of a model's open items and of the slots of its engines. Waiting
+    /// items count as using a slot. Items beyond `max_concurrent` count only for scarcity.
     pub(super) fn record(&mut self, model: &str, items: OpenItems, slots: usize) {
         let slot_share = |items: usize| (items as f64 / slots.max(1) as f64).min(1.0);
         let share = slot_share(items.max_concurrent);
@@ -69,7 +68,7 @@
         }
     }
 
-    /// True if a model's places are nearly always in use.
+    /// True if a model's slots are nearly always in use.
     pub(super) fn is_scarce(&self, model: Option<&str>) -> bool {
         let usage = model.and_then(|model| self.models.get(model));
         usage.is_some_and(|usage| {
@@ -77,19 +76,18 @@
         })
     }
 
-    /// The share of a model's engines that should be ready for use.
+    /// Returns the share of a model's engines that should be ready for use.
     pub(super) fn ready_share(&self, model: &str) -> f64 {
         let usage = self.models.get(model);
         let peak = usage.map_or(1.0, |usage| usage.peak);
-        (peak * READY_SLOTS_PER_PEAK_SLOT).min(1.0)
+        (peak * READY_SHARE_FACTOR).min(1.0)
     }
 
-    /// Of the engines that should be ready, the share that should have the newest
-    /// version.
+    /// Returns the share of the ready engines that should have the newest version.
     pub(super) fn newest_share(&self, model: &str) -> f64 {
         let usage = self.models.get(model);
         let average = usage.map_or(0.0, |usage| usage.average);
-        (average * NEWEST_SLOTS_PER_USED_SLOT).clamp(MIN_NEWEST_SHARE, 1.0)
+        (average * NEWEST_SHARE_FACTOR).clamp(MIN_NEWEST_SHARE, 1.0)
     }
 }
 
--- a/crates/sloetrail-serving/src/owner/slot_usage/tests.rs
+++ b/crates/sloetrail-serving/src/owner/slot_usage/tests.rs
@@ -2,7 +2,7 @@
 
 const SLOTS: usize = 100;
 
-/// Items that would all run at once if there were places.
+/// Items without a limit on concurrency.
 fn all(items: usize) -> OpenItems {
     OpenItems {
         all: items,
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn places_that_are_always_in_use_are_scarce_soon_after_the_first_item() {
+fn fully_used_slots_become_scarce_after_minimum_observations() {
     let mut usage = SlotUsage::default();
     for _ in 0..300 {
         usage.record("m", all(0), SLOTS);
@@ -23,7 +23,7 @@
     for _ in 0..20 {
         usage.record("m", all(3 * SLOTS), SLOTS);
     }
-    assert!(!is_scarce(&usage), "too soon to say");
+    assert!(!is_scarce(&usage), "too few observations");
     for _ in 0..20 {
         usage.record("m", all(3 * SLOTS), SLOTS);
     }
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn bursts_with_rest_between_them_leave_places_enough() {
+fn slots_are_not_scarce_with_idle_time_between_bursts() {
     let mut usage = SlotUsage::default();
     for _ in 0..10 {
         for observation in 0..40 {
--- a/crates/sloetrail-serving/src/owner/weight_update_plan.rs
+++ b/crates/sloetrail-serving/src/owner/weight_update_plan.rs
@@ -1,10 +1,10 @@
-//! Which engines change their weights next.
+//! Plans which engines change their weights next.
 //!
-//! A change takes an engine out for about a second, and only a few engines may change
-//! at a time. Engines that the next batch of their model could not use go first, for
-//! the model with the smallest usable share; engines that merely lag behind follow, of
-//! which half stay in service. While a model needs only part of its places, only part
-//! of its engines get each version, and the others the next one.
+//! An engine takes no work during a change, and only a few engines may change at a time.
+//! Engines that the next batch of their model cannot use go first, starting with the model with
+//! the smallest usable share. Engines that can be used but lag behind follow; at most half of a
+//! model's engines change at a time. A model that needs only part of its slots gets each version
+//! on only part of its engines.
 
 use super::engine::Engine;
 use super::engines::EnginePool;
@@ -13,40 +13,37 @@
 use sloetrail_types::{EngineId, WeightVersion};
 use std::cmp::Reverse;
 
-/// Of the engines of a service one in this many may change at a time.
+/// One in this many engines of a service may change at a time.
 const CHANGING_DIVISOR: usize = 5;
-/// Of a model's engines that batches can use one in this many may change at a time.
+/// Lagging engines of a model change only while fewer than one in this many are changing.
 const USABLE_CHANGING_DIVISOR: usize = 2;
 const PER_THOUSAND: usize = 1_000;
-/// Engines of a model that are kept ready though it needs none: enough for its next batch to
-/// begin at once, also if one of them is lost. A share of the engines in place of a number
-/// grows with the fleet and not with the work: at 972 engines a model it was 97, each with an
-/// order and a connection a version.
+/// Minimum number of ready engines of a model without load, so that its next batch can start at
+/// once even if an engine is lost.
 const MIN_READY_ENGINES: usize = 3;
 
-/// What the versions of one model have come to.
+/// Target weight versions of one model.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ModelTarget {
-    /// The model.
     pub(super) model: String,
-    /// The newest version, which engines are brought to.
+    /// Newest version, which engines are updated to.
     pub(super) published: WeightVersion,
-    /// The oldest version that the newest batch can use.
+    /// Oldest version that the newest batch can use.
     pub(super) min_usable: WeightVersion,
-    /// The share of the model's engines that should be ready for the newest batch; the
-    /// others keep the version that they have.
+    /// Share of the model's engines that should be ready for the newest batch. The others keep
+    /// their version.
     pub(super) ready_share: f64,
-    /// Of these, the share that should have the newest version; others keep theirs as
-    /// long as batches can use it.
+    /// Share of the ready engines that should have the newest version. The others keep their
+    /// version while batches can use it.
     pub(super) newest_share: f64,
 }
 
-/// How many of `engines` may change at a time: a fifth, but at least `least`.
+/// Returns how many of `engines` may change at a time, but at least `minimum`.
 pub(super) fn max_concurrent_changes(engines: usize, minimum: usize) -> usize {
     engines.div_ceil(CHANGING_DIVISOR).max(minimum)
 }
 
-/// The orders to give now, with at most `concurrent` changes at a time.
+/// Returns the weight orders to give now, with at most `concurrent` changes at a time.
 pub(super) fn plan(
     pool: &EnginePool,
     targets: &[ModelTarget],
@@ -78,43 +75,44 @@
     engine.change.is_some() || engine.is_being_ordered
 }
 
-/// A share of a number of engines, rounded up.
+/// Rounds up.
 fn share_of(engines: usize, share: f64) -> usize {
     (engines as f64 * share).ceil() as usize
 }
 
-/// Decides whose turn it is: the smallest goes first.
+/// Order of weight updates; the smallest goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct UpdatePriority {
-    /// Engines that the newest batch cannot use go before the others.
+    /// False if the newest batch cannot use the engine; such engines go first.
     is_usable: bool,
-    /// Engines of the model that are usable or changing, per thousand assigned.
+    /// Usable or changing engines of the model per thousand assigned.
     served_share: usize,
-    /// The version in use.
+    /// Current version of the engine.
     version: WeightVersion,
-    /// Items at the engine.
+    /// Items running on the engine.
     running: usize,
 }
 
-/// An engine that is due.
+/// An engine that is due for a weight update.
 struct DueEngine<'a> {
     id: &'a EngineId,
     version: WeightVersion,
     running: usize,
 }
 
-/// The engines of one model, and those that are due in the order of their turns.
+/// Counts of one model's engines, and those due for a weight update in order of priority.
 struct ModelQueue<'a> {
     target: &'a ModelTarget,
     assigned: usize,
+    /// Engines that are usable or changing.
     served: usize,
-    /// Of those served, the ones that were not lost lately.
+    /// Served engines that were not recently lost, did not recently refuse, and are not slow.
     ready: usize,
     newest: usize,
     changing: usize,
-    /// Engines that the newest batch cannot use; the next one stands last.
+    /// Engines that the newest batch cannot use; the next one is last.
     unusable: Vec<DueEngine<'a>>,
-    /// Engines that it can use; the next one stands last.
+    /// Engines that it can use but that lack the newest version; the next one is last.
     lagging: Vec<DueEngine<'a>>,
 }
 
@@ -170,7 +168,7 @@
         });
     }
 
-    /// The turn of the engine that is next; nothing if none may change now.
+    /// Returns the priority of the next engine. None if no engine may change now.
     fn next_priority(&self) -> Option<UpdatePriority> {
         let is_usable = !self.needs_more_ready();
         let next = match is_usable {
--- a/crates/sloetrail-serving/tests/supply.rs
+++ b/crates/sloetrail-serving/tests/supply.rs
@@ -1,5 +1,5 @@
-//! The number of engines: ordered by the owner of the service alone, from what its engines
-//! do, and left alone where the configuration or the work gives no reason.
+//! Engine counts: only the owner of the service orders engines, based on their load, and only
+//! where the configuration and the work call for it.
 
 mod support;
 
@@ -17,30 +17,30 @@
 use std::time::{Duration, Instant};
 use support::{lease, lease_holder, native_cluster, submit_items};
 
-/// As the cluster's nodes are set up.
-const ORDER_GAP: Duration = Duration::from_millis(800);
+/// Minimum time between the orders of two owners, by the settings of the cluster's nodes.
+const MIN_ORDER_INTERVAL: Duration = Duration::from_millis(800);
 const ENGINES: usize = 2;
-/// Items that keep every place of the engines busy, and a little work.
-const MUCH: usize = 40;
-const LITTLE: usize = 3;
-/// The load is looked at for eight seconds before engines are given back.
-const SEEN: Duration = Duration::from_secs(11);
+/// Items that keep every slot of the engines busy, and items that use only a few.
+const HEAVY_LOAD_ITEMS: usize = 40;
+const LIGHT_LOAD_ITEMS: usize = 3;
+/// Covers the 8 s of load history that releasing engines requires.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(11);
 
 async fn cluster(scaling: bool) -> (Cluster, Arc<SupplyBook>) {
-    let (mut cluster, book) = configured(scaling);
+    let (mut cluster, recorder) = configured(scaling);
     start(&mut cluster).await;
-    (cluster, book)
+    (cluster, recorder)
 }
 
 fn configured(scaling: bool) -> (Cluster, Arc<SupplyBook>) {
-    let book = SupplyBook::new();
+    let recorder = SupplyBook::new();
     let mut cluster = native_cluster();
-    cluster.engine_supply = Some(Arc::<SupplyBook>::clone(&book));
+    cluster.engine_supply = Some(Arc::<SupplyBook>::clone(&recorder));
     if scaling {
         cluster.scaling = Some(json!({"min": 1, "max": 8, "boot_s": 0.2}));
     }
     cluster.configure(usual_routes());
-    (cluster, book)
+    (cluster, recorder)
 }
 
 async fn start(cluster: &mut Cluster) {
@@ -54,11 +54,16 @@
     }
 }
 
-/// Submits batches, one after the other, until there is an order or the time is over.
-async fn work_until_ordered(cluster: &Cluster, node: usize, book: &SupplyBook, count: usize) {
+/// Runs batches one after the other until an order is given or [`RELEASE_TIMEOUT`] is over.
+async fn run_batches_until_ordered(
+    cluster: &Cluster,
+    node: usize,
+    recorder: &SupplyBook,
+    count: usize,
+) {
     let began = Instant::now();
-    let before = book.records().len();
-    while began.elapsed() < SEEN && book.records().len() == before {
+    let before = recorder.records().len();
+    while began.elapsed() < RELEASE_TIMEOUT && recorder.records().len() == before {
         let id = format!("b-{node}-{}", began.elapsed().as_millis());
         submit_items(cluster, node, &id, count, 60).await;
         cluster.wait_results(node, &id, count).await;
@@ -68,36 +73,36 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn engines_that_are_busy_get_more_from_the_owner_and_from_its_successor() {
-    let (mut cluster, book) = cluster(true).await;
+async fn the_owner_and_its_successor_add_engines_under_load() {
+    let (mut cluster, recorder) = cluster(true).await;
     let owner = lease_holder(&cluster).await;
-    work_until_ordered(&cluster, 1 - owner, &book, MUCH).await;
-    let first = book.records().first().cloned().expect("an order");
+    run_batches_until_ordered(&cluster, 1 - owner, &recorder, HEAVY_LOAD_ITEMS).await;
+    let first = recorder.records().first().cloned().expect("an order");
     assert_eq!(first.order.service.as_str(), MODELS);
     assert_eq!(first.order.zone.as_str(), "zone-a");
     assert!(first.order.engines > ENGINES, "{first:?}");
     assert_eq!(first.holder.node, format!("node-{}", owner + 1));
     cluster.nodes[owner].kill();
-    let before = book.records().len();
-    work_until_ordered(&cluster, 1 - owner, &book, MUCH).await;
-    let records = book.records();
-    assert!(records.len() > before, "the successor orders too");
+    let before = recorder.records().len();
+    run_batches_until_ordered(&cluster, 1 - owner, &recorder, HEAVY_LOAD_ITEMS).await;
+    let records = recorder.records();
+    assert!(records.len() > before, "the successor gives an order");
     let (last, next) = (&records[before - 1], &records[before]);
     assert_ne!(next.holder.node, last.holder.node);
     assert!(next.holder.epoch > last.holder.epoch, "{records:?}");
-    assert!(next.at - last.at >= ORDER_GAP, "{records:?}");
+    assert!(next.at - last.at >= MIN_ORDER_INTERVAL, "{records:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn engines_that_were_there_from_the_beginning_are_not_given_back() {
-    let (cluster, book) = cluster(true).await;
-    work_until_ordered(&cluster, 0, &book, LITTLE).await;
-    assert!(book.records().is_empty(), "{:?}", book.records());
-    let floors = cluster.table.rows("sloetrail_engine_floors");
-    assert_eq!(floors[0].value, ENGINES.to_string());
+async fn baseline_engines_are_not_released() {
+    let (cluster, recorder) = cluster(true).await;
+    run_batches_until_ordered(&cluster, 0, &recorder, LIGHT_LOAD_ITEMS).await;
+    assert!(recorder.records().is_empty(), "{:?}", recorder.records());
+    let baselines = cluster.table.rows("sloetrail_engine_floors");
+    assert_eq!(baselines[0].value, ENGINES.to_string());
 }
 
-/// Hands calls on, and keeps which rows they are about.
+/// Forwards calls and records the keys that they access and the tables that are followed.
 struct RecordingTable {
     inner: Arc<dyn Table>,
     keys: Arc<Mutex<BTreeSet<String>>>,
@@ -138,14 +143,14 @@
     }
 }
 
-/// An owner of bound batches would have told their demand twice in this time.
-const DEMAND_TOLD: Duration = Duration::from_secs(5);
-/// The tables of the product that nodes follow, beside those of the operator and of back ends.
-const FOLLOWED: [&str; 3] = ["sloetrail_batches", "sloetrail_ends", "sloetrail_leases"];
+/// Longer than two reporting periods of slot demand.
+const DEMAND_REPORT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Tables that nodes follow, except those of the operator and of back ends.
+const FOLLOWED_TABLES: [&str; 3] = ["sloetrail_batches", "sloetrail_ends", "sloetrail_leases"];
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_bound_batches_nobody_calls_the_table_about_their_demand() {
-    let (mut cluster, book) = configured(true);
+async fn without_bound_batches_no_table_call_concerns_demand() {
+    let (mut cluster, recorder) = configured(true);
     let keys = Arc::new(Mutex::new(BTreeSet::new()));
     let followed = Arc::new(Mutex::new(BTreeSet::new()));
     let recorded = (Arc::clone(&keys), Arc::clone(&followed));
@@ -158,10 +163,10 @@
     });
     start(&mut cluster).await;
     let began = Instant::now();
-    while began.elapsed() < DEMAND_TOLD {
-        work_until_ordered(&cluster, 0, &book, MUCH).await;
+    while began.elapsed() < DEMAND_REPORT_TIMEOUT {
+        run_batches_until_ordered(&cluster, 0, &recorder, HEAVY_LOAD_ITEMS).await;
     }
-    assert!(!book.records().is_empty(), "engines are ordered");
+    assert!(!recorder.records().is_empty(), "engines are ordered");
     let keys = keys.lock().expect("not poisoned").clone();
     assert!(keys.contains("lease/models"), "{keys:?}");
     let about_demand = keys.iter().any(|key| key.contains("demand"));
@@ -170,19 +175,19 @@
     let own = followed
         .iter()
         .filter(|table| table.starts_with("sloetrail_"));
-    assert_eq!(own.map(String::as_str).collect::<Vec<_>>(), FOLLOWED);
+    assert_eq!(own.map(String::as_str).collect::<Vec<_>>(), FOLLOWED_TABLES);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn engines_that_were_ordered_are_given_back_when_they_have_nothing_to_do() {
-    let (mut cluster, book) = cluster(true).await;
-    work_until_ordered(&cluster, 0, &book, MUCH).await;
-    assert!(!book.records().is_empty());
+async fn idle_engines_above_the_baseline_are_released() {
+    let (mut cluster, recorder) = cluster(true).await;
+    run_batches_until_ordered(&cluster, 0, &recorder, HEAVY_LOAD_ITEMS).await;
+    assert!(!recorder.records().is_empty());
     for _ in 0..4 {
         cluster.add_engine(Duration::from_millis(5)).await;
     }
-    work_until_ordered(&cluster, 0, &book, LITTLE).await;
-    let last = book.records().last().cloned().expect("an order");
+    run_batches_until_ordered(&cluster, 0, &recorder, LIGHT_LOAD_ITEMS).await;
+    let last = recorder.records().last().cloned().expect("an order");
     assert!(
         (ENGINES..ENGINES + 4).contains(&last.order.engines),
         "{last:?}"
@@ -190,51 +195,55 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_is_ordered_where_the_configuration_does_not_say_that_it_may_be() {
-    let (cluster, book) = cluster(false).await;
-    work_until_ordered(&cluster, 0, &book, MUCH).await;
-    assert!(book.records().is_empty(), "{:?}", book.records());
+async fn nothing_is_ordered_without_scaling_bounds() {
+    let (cluster, recorder) = cluster(false).await;
+    run_batches_until_ordered(&cluster, 0, &recorder, HEAVY_LOAD_ITEMS).await;
+    assert!(recorder.records().is_empty(), "{:?}", recorder.records());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_that_is_fenced_off_ends_its_term() {
-    let (cluster, book) = cluster(true).await;
+async fn a_fenced_owner_ends_its_term() {
+    let (cluster, recorder) = cluster(true).await;
     let owner = lease_holder(&cluster).await;
     let epoch = lease(&cluster).expect("a lease")["epoch"].clone();
-    book.set_next_answer(SupplyAnswer::Fenced);
-    work_until_ordered(&cluster, 1 - owner, &book, MUCH).await;
-    assert!(!book.records().is_empty());
+    recorder.set_next_answer(SupplyAnswer::Fenced);
+    run_batches_until_ordered(&cluster, 1 - owner, &recorder, HEAVY_LOAD_ITEMS).await;
+    assert!(!recorder.records().is_empty());
     let has_ended = || async { (lease(&cluster)?["epoch"] != epoch).then_some(()) };
-    eventually("another term has begun", has_ended).await;
+    eventually("a new term has begun", has_ended).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_number_of_engines_of_an_evacuated_zone_is_left_alone() {
-    let (mut cluster, book) = cluster(true).await;
-    let spared = cluster
+async fn engine_counts_of_evacuated_zones_stay() {
+    let (mut cluster, recorder) = cluster(true).await;
+    let evacuated_engine = cluster
         .add_engine_in("zone-b", Duration::from_millis(5))
         .await;
     cluster.evacuate("zone-b");
     tokio::time::sleep(Duration::from_millis(300)).await;
-    work_until_ordered(&cluster, 0, &book, MUCH).await;
-    let records = book.records();
+    run_batches_until_ordered(&cluster, 0, &recorder, HEAVY_LOAD_ITEMS).await;
+    let records = recorder.records();
     assert!(!records.is_empty(), "engines are ordered elsewhere");
     let zones = records.iter().map(|record| record.order.zone.as_str());
     assert!(zones.clone().all(|zone| zone == "zone-a"), "{records:?}");
     assert!(records[0].order.engines > ENGINES, "{records:?}");
-    assert!(spared.arrivals().is_empty());
-    let floors = cluster.table.rows("sloetrail_engine_floors");
+    assert!(evacuated_engine.arrivals().is_empty());
+    let baselines = cluster.table.rows("sloetrail_engine_floors");
     let all = ENGINES + 1;
-    assert_eq!(floors[0].value, all.to_string(), "its engines count");
+    assert_eq!(
+        baselines[0].value,
+        all.to_string(),
+        "engines of the evacuated zone count"
+    );
 }
 
 const FREE_KEY: &str = "key-of-free";
 const BOUND_KEY: &str = "key-of-bound";
 
-/// A cluster in the region north, one of whose tenants is bound to a region, and whose engines
-/// have become more than a little work needs.
-async fn with_more_engines_than_the_work_needs(bound_to: &str) -> (Cluster, Arc<SupplyBook>) {
-    let (mut cluster, book) = configured(true);
+/// Starts a cluster in the region north with a region-bound tenant and with more engines than a
+/// light load needs.
+async fn overprovisioned_cluster(bound_to: &str) -> (Cluster, Arc<SupplyBook>) {
+    let (mut cluster, recorder) = configured(true);
     cluster.regions = [("zone-a", "north"), ("zone-b", "south")]
         .map(|(zone, region)| (zone.to_owned(), region.to_owned()))
         .into();
@@ -251,51 +260,54 @@
     cluster.configure(routes);
     start(&mut cluster).await;
     cluster.api_key = Some(FREE_KEY.to_owned());
-    work_until_ordered(&cluster, 0, &book, MUCH).await;
-    assert!(!book.records().is_empty(), "busy engines get more");
+    run_batches_until_ordered(&cluster, 0, &recorder, HEAVY_LOAD_ITEMS).await;
+    assert!(
+        !recorder.records().is_empty(),
+        "busy engines lead to an order"
+    );
     for _ in 0..4 {
         cluster.add_engine(Duration::from_millis(5)).await;
     }
-    (cluster, book)
+    (cluster, recorder)
 }
 
-/// No node is in the region south, so nobody owns the batch and tells of it.
+/// No node is in the region south, so the batch has no owner that reports its demand.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_engine_is_given_back_while_nobody_tells_what_a_bound_batch_takes() {
-    let (mut cluster, book) = with_more_engines_than_the_work_needs("south").await;
-    let before = book.records().len();
+async fn no_engine_is_released_while_bound_demand_is_unknown() {
+    let (mut cluster, recorder) = overprovisioned_cluster("south").await;
+    let before = recorder.records().len();
     cluster.api_key = Some(BOUND_KEY.to_owned());
     submit_items(&cluster, 0, "bound", 1, 60).await;
     cluster.api_key = Some(FREE_KEY.to_owned());
-    work_until_ordered(&cluster, 0, &book, LITTLE).await;
-    let records = book.records();
+    run_batches_until_ordered(&cluster, 0, &recorder, LIGHT_LOAD_ITEMS).await;
+    let records = recorder.records();
     assert_eq!(records.len(), before, "{records:?}");
 }
 
-/// The owner of bound batches tells how many places these take, and that they are done.
+/// The owner of bound batches reports their slot demand, and later that they are done.
 #[tokio::test(flavor = "multi_thread")]
-async fn engines_are_given_back_only_once_the_batches_of_another_owner_are_done() {
-    /// Items that keep most places busy for longer than the load is looked at.
+async fn engines_are_released_after_other_owners_batches_finish() {
+    /// Items that keep most slots busy for longer than the load history covers.
     const BOUND_ITEMS: usize = 20;
-    const LONG: u64 = 3_500;
-    let (mut cluster, book) = with_more_engines_than_the_work_needs("north").await;
-    let before = book.records().len();
+    const LONG_RUN_EVENTS: u64 = 3_500;
+    let (mut cluster, recorder) = overprovisioned_cluster("north").await;
+    let before = recorder.records().len();
     let engines = ENGINES + 4;
     cluster.api_key = Some(BOUND_KEY.to_owned());
-    submit_items(&cluster, 0, "bound", BOUND_ITEMS, LONG).await;
+    submit_items(&cluster, 0, "bound", BOUND_ITEMS, LONG_RUN_EVENTS).await;
     cluster.api_key = Some(FREE_KEY.to_owned());
-    work_until_ordered(&cluster, 0, &book, LITTLE).await;
-    let records = book.records().split_off(before);
+    run_batches_until_ordered(&cluster, 0, &recorder, LIGHT_LOAD_ITEMS).await;
+    let records = recorder.records().split_off(before);
     let is_fewer = |record: &SupplyRecord| record.order.engines < engines;
     assert!(!records.iter().any(is_fewer), "{records:?}");
-    // It is not ended, and its time is not over: its owner tells that nothing runs.
+    // The batch has neither been ended nor expired: its owner reports that nothing runs.
     cluster.api_key = Some(BOUND_KEY.to_owned());
     cluster.wait_results(0, "bound", BOUND_ITEMS).await;
     cluster.api_key = Some(FREE_KEY.to_owned());
-    let done = book.records().len();
+    let done = recorder.records().len();
     for _ in 0..2 {
-        work_until_ordered(&cluster, 0, &book, LITTLE).await;
+        run_batches_until_ordered(&cluster, 0, &recorder, LIGHT_LOAD_ITEMS).await;
     }
-    let records = book.records().split_off(done);
+    let records = recorder.records().split_off(done);
     assert!(records.iter().any(is_fewer), "{records:?}");
 }
--- a/crates/sloetrail-serving/tests/tenants_in_turn.rs
+++ b/crates/sloetrail-serving/tests/tenants_in_turn.rs
@@ -1,5 +1,5 @@
-//! Tenants and routes take turns at the places of a service: what one tenant sends too much
-//! of does not keep the others from being served, and callers without a key cost little.
+//! Fair sharing of a service's slots among tenants and routes: a tenant that floods a service
+//! does not starve the others, and calls with an invalid key use no slot.
 
 mod support;
 
@@ -15,33 +15,33 @@
 
 const NORTH: &str = "north-key";
 const SOUTH: &str = "south-key";
-/// How long the application works on a request: its eight places bear 133 a second.
-const WORK: Duration = Duration::from_millis(60);
-/// Callers of one flood. Each makes its next request at once, or after a pause if it was
-/// refused.
+/// Time that the application takes per request; its eight slots serve 133 requests per second.
+const SERVICE_TIME: Duration = Duration::from_millis(60);
+/// Callers of one flood. Each sends its next request at once, or after [`REFUSED_BACKOFF`] if it
+/// was refused.
 const FLOOD_CALLERS: usize = 40;
-const PAUSE_OF_REFUSED: Duration = Duration::from_millis(20);
-/// Long enough that no request is refused for a busy machine, and none sent twice.
+const REFUSED_BACKOFF: Duration = Duration::from_millis(20);
+/// Long enough that a slow test machine causes neither refusals nor retries.
 const LATENCY_TARGET_MS: u64 = 2_000;
 const TIMEOUT_MS: u64 = 4_000;
-/// A flood lasts until the places are taken, before anything is measured.
-const FLOOD_LEAD: Duration = Duration::from_millis(400);
+/// Time for a flood to occupy all slots before measurements start.
+const FLOOD_WARMUP: Duration = Duration::from_millis(400);
 
-/// One caller's requests, and how many of them were served.
+/// Counts of requests sent and served.
 #[derive(Clone, Copy, Debug, Default)]
 struct Served {
-    asked: usize,
+    sent: usize,
     served: usize,
 }
 
 impl Served {
     fn share(self) -> f64 {
-        self.served as f64 / self.asked.max(1) as f64
+        self.served as f64 / self.sent.max(1) as f64
     }
 
     fn and(self, other: Self) -> Self {
         Self {
-            asked: self.asked + other.asked,
+            sent: self.sent + other.sent,
             served: self.served + other.served,
         }
     }
@@ -68,7 +68,10 @@
         {"name": "south", "api_keys": [SOUTH]},
     ]));
     cluster.configure(routes());
-    cluster.add_application("zone-a").await.set_pace(WORK);
+    cluster
+        .add_application("zone-a")
+        .await
+        .set_pace(SERVICE_TIME);
     cluster.add_engine(Duration::from_millis(5)).await;
     let node = cluster.add_node("node-1").await;
     cluster.wait_ready(node).await;
@@ -84,24 +87,24 @@
         .body("question")
 }
 
-/// Makes a call again and again until it is told to stop.
+/// Repeats a call until `stop` is set.
 async fn repeat(cluster: &Cluster, call: &Call, stop: &AtomicBool) -> Served {
     let mut sum = Served::default();
     while !stop.load(Ordering::Relaxed) {
         let answer = call.send(cluster.nodes[0].callers).await;
         let is_served = answer.is_some_and(|answer| answer.status == 200);
         sum = sum.and(Served {
-            asked: 1,
+            sent: 1,
             served: usize::from(is_served),
         });
         if !is_served {
-            tokio::time::sleep(PAUSE_OF_REFUSED).await;
+            tokio::time::sleep(REFUSED_BACKOFF).await;
         }
     }
     sum
 }
 
-/// Callers that repeat a call beside the test.
+/// Callers that repeat a call in the background.
 struct Flood {
     stop: Arc<AtomicBool>,
     callers: JoinSet<Served>,
@@ -126,41 +129,41 @@
     }
 }
 
-async fn send_in_a_row(cluster: &Cluster, call: &Call, count: usize) -> Served {
+async fn send_sequentially(cluster: &Cluster, call: &Call, count: usize) -> Served {
     let mut sum = Served::default();
     for _ in 0..count {
         let answer = call.send(cluster.nodes[0].callers).await;
         let is_served = answer.is_some_and(|answer| answer.status == 200);
-        sum.asked += 1;
+        sum.sent += 1;
         sum.served += usize::from(is_served);
     }
     sum
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_tenant_that_floods_does_not_keep_another_one_from_being_served() {
+async fn a_flooding_tenant_does_not_starve_another() {
     let cluster = Arc::new(cluster().await);
     let flood = Flood::start(&cluster, "/live/x", NORTH);
-    tokio::time::sleep(FLOOD_LEAD).await;
-    let south = send_in_a_row(&cluster, &call(&cluster, "/live/x", SOUTH), 40).await;
+    tokio::time::sleep(FLOOD_WARMUP).await;
+    let south = send_sequentially(&cluster, &call(&cluster, "/live/x", SOUTH), 40).await;
     let north = flood.end().await;
     assert!(south.served >= 39, "south {south:?}, north {north:?}");
     assert!(
         north.served > 40,
-        "the flood has the places left: {north:?}"
+        "the flood uses the remaining slots: {north:?}"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_tenant_alone_uses_all_places() {
+async fn a_single_tenant_uses_all_slots() {
     let cluster = Arc::new(cluster().await);
     let flood = Flood::start(&cluster, "/live/x", NORTH);
-    tokio::time::sleep(FLOOD_LEAD).await;
+    tokio::time::sleep(FLOOD_WARMUP).await;
     let began = Instant::now();
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let took = began.elapsed() + FLOOD_LEAD;
+    let took = began.elapsed() + FLOOD_WARMUP;
     let north = flood.end().await;
-    let possible = 8.0 * took.as_secs_f64() / WORK.as_secs_f64();
+    let possible = 8.0 * took.as_secs_f64() / SERVICE_TIME.as_secs_f64();
     assert!(
         north.served as f64 > 0.6 * possible,
         "{north:?} of {possible}"
@@ -168,7 +171,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_urgent_route_is_served_no_less_than_one_that_can_wait() {
+async fn urgent_routes_are_preferred_without_starving_others() {
     let cluster = Arc::new(cluster().await);
     let urgent = Flood::start(&cluster, "/urgent/x", NORTH);
     let patient = Flood::start(&cluster, "/patient/x", NORTH);
@@ -181,7 +184,7 @@
     let all = urgent.and(patient);
     assert!(
         patient.share() > all.share() / 4.0,
-        "the patient one is not shut out: {patient:?} of {all:?}"
+        "the patient route is not starved: {patient:?} of {all:?}"
     );
 }
 
@@ -199,7 +202,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_batch_of_many_items_does_not_delay_the_batch_of_another_tenant() {
+async fn a_large_batch_does_not_delay_another_tenants_batch() {
     let mut cluster = cluster().await;
     submit(&mut cluster, "north-batch", NORTH, &items_named("n", 600)).await;
     submit(&mut cluster, "south-batch", SOUTH, &items_named("s", 60)).await;
@@ -209,17 +212,17 @@
         .runs()
         .into_iter()
         .filter(|run| run.id.starts_with('n'));
-    let (begun, share) = (of_north.count(), 60);
+    let (started, share) = (of_north.count(), 60);
     assert!(
-        begun < 4 * share,
-        "{begun} items of the other tenant began before"
+        started < 4 * share,
+        "{started} items of the other tenant started earlier"
     );
     cluster.api_key = Some(NORTH.to_owned());
     cluster.wait_results(0, "north-batch", 600).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn thousands_of_wrong_keys_take_no_place_and_delay_nobody() {
+async fn invalid_keys_use_no_slot_and_delay_no_caller() {
     let cluster = Arc::new(cluster().await);
     let mut wrong = JoinSet::new();
     for caller in 0..40 {
@@ -238,13 +241,13 @@
             refused
         });
     }
-    let right = send_in_a_row(&cluster, &call(&cluster, "/live/x", SOUTH), 10).await;
+    let right = send_sequentially(&cluster, &call(&cluster, "/live/x", SOUTH), 10).await;
     let refused: usize = wrong.join_all().await.into_iter().sum();
     assert_eq!(refused, 4_000);
-    assert_eq!(right.served, right.asked);
+    assert_eq!(right.served, right.sent);
     let runs = cluster.engines[0].runs();
-    let of_nobody = runs
+    let of_other_tenants = runs
         .iter()
         .filter(|run| run.tenant.as_deref() != Some("south"));
-    assert_eq!(of_nobody.count(), 0);
+    assert_eq!(of_other_tenants.count(), 0);
 }
