--- a/crates/sloetrail-scaling/src/fleet.rs
+++ b/crates/sloetrail-scaling/src/fleet.rs
@@ -140,10 +140,11 @@
         scalers.sort_by_key(|(regions, _)| regions.names().count());
         for (regions, scaler) in scalers {
             let within = |zone: &ZoneLoad| regions.allows(zone.region.as_ref());
-            let own = zones.iter().filter(|(_, zone)| within(zone));
-            let engines = total_engines(own.clone().map(|(_, zone)| zone), slots_per_engine);
+            let zones_within = zones.iter().filter(|(_, zone)| within(zone));
+            let engines =
+                total_engines(zones_within.clone().map(|(_, zone)| zone), slots_per_engine);
             let required = scaler.required_engines(now, engines, bounds);
-            let names: Vec<ZoneName> = own.map(|(name, _)| name.clone()).collect();
+            let names: Vec<ZoneName> = zones_within.map(|(name, _)| name.clone()).collect();
             for (zone, share) in spread(required, &names, bounds, &minimums) {
                 raise_to(&mut minimums, &zone, share);
             }
@@ -159,9 +160,9 @@
     zones: &ZoneLoads,
     works: &BoundWorkByRegions,
 ) -> usize {
-    let own = zones.values();
-    let own = own.filter(|zone| regions.allows(zone.region.as_ref()));
-    let unbound: usize = own.map(|zone| zone.busy_slots).sum();
+    let zones_within = zones.values();
+    let zones_within = zones_within.filter(|zone| regions.allows(zone.region.as_ref()));
+    let unbound: usize = zones_within.map(|zone| zone.busy_slots).sum();
     let is_within = |other: &AllowedRegions| other.names().all(|name| regions.allows(Some(name)));
     let bound = works.iter().filter(|(other, _)| is_within(other));
     unbound + bound.map(|(_, work)| work.busy_slots).sum::<usize>()
@@ -179,6 +180,6 @@
 }
 
 fn raise_to(minimums: &mut BTreeMap<ZoneName, usize>, zone: &ZoneName, engines: usize) {
-    let known = minimums.entry(zone.clone()).or_default();
-    *known = engines.max(*known);
+    let minimum = minimums.entry(zone.clone()).or_default();
+    *minimum = engines.max(*minimum);
 }
--- a/crates/sloetrail-scaling/src/tests/fleet.rs
+++ b/crates/sloetrail-scaling/src/tests/fleet.rs
@@ -64,9 +64,9 @@
         let end_ms = self.now_ms + seconds * 1_000;
         while self.now_ms < end_ms {
             let now = Timestamp(self.now_ms);
-            let own = self.zones.values();
-            let own = own.filter(|zone| regions.allows(zone.region.as_ref()));
-            let slots = own.map(|zone| zone.engines).sum::<usize>() * SLOTS;
+            let zones_within = self.zones.values();
+            let zones_within = zones_within.filter(|zone| regions.allows(zone.region.as_ref()));
+            let slots = zones_within.map(|zone| zone.engines).sum::<usize>() * SLOTS;
             let work = BoundWork {
                 busy_slots: requested.min(slots),
                 requested_slots: requested,
--- a/crates/sloetrail-serving/src/owner/reward_queue.rs
+++ b/crates/sloetrail-serving/src/owner/reward_queue.rs
@@ -174,7 +174,7 @@
         self.targets.retain(|_, target| !target.is_empty());
     }
 
-    /// Returns when the next delay ends.
+    /// Returns when the next delay ends after which a text may start.
     pub(super) fn next_due(&self, now: BootInstant) -> Option<BootInstant> {
         let targets = self
             .targets
@@ -200,10 +200,10 @@
     }
 
     fn requeue_due(&mut self, now: BootInstant) {
-        let over = self.delayed.partition_point(|(until, _)| *until <= now);
+        let due_count = self.delayed.partition_point(|(until, _)| *until <= now);
         let due: Vec<ScoringTask> = self
             .delayed
-            .drain(..over)
+            .drain(..due_count)
             .map(|(_, scoring)| scoring)
             .collect();
         for scoring in due {
--- a/crates/sloetrail-serving/src/owner/weight_update_plan.rs
+++ b/crates/sloetrail-serving/src/owner/weight_update_plan.rs
@@ -38,7 +38,7 @@
     pub(super) newest_share: f64,
 }
 
-/// Returns how many of `engines` may change at a time, but at least `minimum`.
+/// Returns how many of `engines` may change at a time, at least `minimum`.
 pub(super) fn max_concurrent_changes(engines: usize, minimum: usize) -> usize {
     engines.div_ceil(CHANGING_DIVISOR).max(minimum)
 }
@@ -75,7 +75,7 @@
     engine.change.is_some() || engine.is_being_ordered
 }
 
-/// Rounds up.
+/// Returns a share of `engines`, rounded up.
 fn share_of(engines: usize, share: f64) -> usize {
     (engines as f64 * share).ceil() as usize
 }
@@ -100,7 +100,7 @@
     running: usize,
 }
 
-/// Counts of one model's engines, and those due for a weight update in order of priority.
+/// Engines of one model: counts by state, and queues of the engines due for a weight update.
 struct ModelQueue<'a> {
     target: &'a ModelTarget,
     assigned: usize,
