--- a/crates/sloetrail-scaling/src/tests/fleet.rs
+++ b/crates/sloetrail-scaling/src/tests/fleet.rs
@@ -60,7 +60,13 @@
 
     /// Advances the clock with a batch every [`PERIOD`]. Bound work uses the slots that it
     /// requests as far as the engines of its regions have them.
-    fn run(&mut self, seconds: u64, regions: &AllowedRegions, requested: usize, step_share: f64) {
+    fn run(
+        &mut self,
+        seconds: u64,
+        regions: &AllowedRegions,
+        requested_slots: usize,
+        step_share: f64,
+    ) {
         let end_ms = self.now_ms + seconds * 1_000;
         while self.now_ms < end_ms {
             let now = Timestamp(self.now_ms);
@@ -68,8 +74,8 @@
             let zones_within = zones_within.filter(|zone| regions.allows(zone.region.as_ref()));
             let slots = zones_within.map(|zone| zone.engines).sum::<usize>() * SLOTS;
             let work = BoundWork {
-                busy_slots: requested.min(slots),
-                requested_slots: requested,
+                busy_slots: requested_slots.min(slots),
+                requested_slots,
             };
             let works: BoundWorkByRegions = [(regions.clone(), work)].into();
             if self.now_ms.is_multiple_of(PERIOD.as_millis() as u64) {
