--- a/crates/sloetrail-serving/src/cold_budgets/tests.rs
+++ b/crates/sloetrail-serving/src/cold_budgets/tests.rs
@@ -11,7 +11,7 @@
 use sloetrail_types::{AllowedRegions, RegionName, RowVersion, ServiceName};
 
 #[test]
-fn a_back_end_is_shared_by_live_requests_and_the_owners_that_may_use_its_region() {
+fn live_requests_and_allowed_owners_share_a_back_end() {
     let only = |names: &[&str]| AllowedRegions::only(names.iter().copied().map(RegionName::from));
     let budgets = ColdBudgets {
         sustained_per_second: 8.0,
@@ -26,18 +26,18 @@
     };
     let senders = |region: Option<&str>| {
         let region = region.map(RegionName::from);
-        budgets.of_region(region.as_ref()).senders
+        budgets.for_region(region.as_ref()).senders
     };
     assert_eq!(senders(Some("north")), 4);
     assert_eq!(senders(Some("south")), 3);
     assert_eq!(senders(Some("east")), 2);
-    assert_eq!(senders(None), 2, "nothing that is bound goes there");
-    assert_eq!(budgets.of_region(None).sustained_per_second, 8.0);
+    assert_eq!(senders(None), 2, "region-bound work never goes there");
+    assert_eq!(budgets.for_region(None).sustained_per_second, 8.0);
 }
 
-/// The owner of batches that an earlier configuration bound sends there as well.
+/// Batches accepted under an earlier configuration are still sent by their owner.
 #[test]
-fn the_owner_of_a_set_that_no_configuration_names_any_more_has_its_share() {
+fn owners_of_unconfigured_sets_still_have_a_share() {
     let configuration = json!({
         "version": 1,
         "routes": [{"name": "rollout", "host": "a.example", "path_prefix": "/r/",
@@ -66,14 +66,10 @@
         let models = ServiceName::from("models");
         let budgets = ColdTolerance::default().budgets(&configuration, leased, &models);
         let region = RegionName::from(region);
-        budgets.expect("bounded").of_region(Some(&region)).senders
+        budgets.expect("bounded").for_region(Some(&region)).senders
     };
     let leased = LeasedSets::from_view(&leases);
     assert_eq!(senders(&LeasedSets::default(), "north"), 1);
     assert_eq!(senders(&leased, "north"), 2);
-    assert_eq!(
-        senders(&leased, "south"),
-        2,
-        "the owners that are configured"
-    );
+    assert_eq!(senders(&leased, "south"), 2, "configured owners only");
 }
--- a/crates/sloetrail-serving/src/owner/engines/tests/orders.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests/orders.rs
@@ -1,7 +1,7 @@
 use super::{MODELS, engines_of_model, pool, share, target};
 use crate::owner::engines::EnginePool;
 use crate::owner::publications::Publications;
-use crate::owner::rollout_plan::{ModelTarget, concurrent_changes, plan};
+use crate::owner::weight_update_plan::{ModelTarget, max_concurrent_changes, plan};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::{EngineId, WeightVersion};
 use std::time::Duration;
@@ -45,7 +45,7 @@
     let ids = engines_of_model(&pool, "a");
     set_version(&mut pool, &ids, 3);
     let targets = [target("a", 4, 3), target("b", 4, 3), target("c", 4, 3)];
-    let concurrent = concurrent_changes(36, 2);
+    let concurrent = max_concurrent_changes(36, 2);
     assert_eq!(concurrent, 8, "a fifth of the engines");
     let orders = plan(&pool, &targets, concurrent, BootInstant::now());
     let of = |model: &str| orders.iter().filter(|order| order.model == model).count();
@@ -89,7 +89,7 @@
     let assigned = assignment_time();
     let pool = pool(MANY_ENGINES);
     let targets = MODELS.map(|model| target(model, 2, 1));
-    let concurrent = concurrent_changes(MANY_ENGINES, 2);
+    let concurrent = max_concurrent_changes(MANY_ENGINES, 2);
     let planned = min_duration(|| {
         let orders = plan(&pool, &targets, concurrent, BootInstant::now());
         assert_eq!(orders.len(), MANY_ENGINES / 5);
@@ -150,7 +150,12 @@
             true => target("a", 2, 1),
             false => needs_few(2, 1),
         };
-        for order in plan(&pool, &[model_target], concurrent_changes(ENGINES, 2), now) {
+        for order in plan(
+            &pool,
+            &[model_target],
+            max_concurrent_changes(ENGINES, 2),
+            now,
+        ) {
             let engine = pool.get_mut(&order.engine).expect("known");
             engine.has_order_in_flight = true;
             changing.push((now + CHANGE_TIME, order.engine));
--- a/crates/sloetrail-serving/src/owner/engines/tests/slow_engines.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests/slow_engines.rs
@@ -4,7 +4,7 @@
 };
 use crate::owner::engine::{ModelRequirement, SendLimits};
 use crate::owner::engines::EnginePool;
-use crate::owner::rollout_plan::plan;
+use crate::owner::weight_update_plan::plan;
 use sloetrail_clock::BootInstant;
 use sloetrail_types::{EngineId, WeightVersion};
 use std::time::Duration;
--- a/crates/sloetrail-serving/src/owner/event.rs
+++ b/crates/sloetrail-serving/src/owner/event.rs
@@ -2,7 +2,7 @@
 
 use super::loading::LoadedBatch;
 use super::reward::RewardOutcome;
-use super::reward_queue::Scoring;
+use super::reward_queue::ScoringTask;
 use super::run::RunOutcome;
 use crate::back_end::{EngineStatus, OrderAnswer};
 use crate::leases::OrderWindow;
@@ -26,7 +26,7 @@
     /// A request for a trial of a quarantined item ended. The permit is on trial if it was
     /// granted.
     TrialDecided((BatchId, ItemIndex), Box<Passage>),
-    RewardEnded(Scoring, RewardOutcome),
+    RewardEnded(ScoringTask, RewardOutcome),
     Committed(Committed),
     /// An attempt to open the order window ended; the window may still be closed.
     WindowOpenEnded(OrderWindow),
--- a/crates/sloetrail-serving/src/owner/mod.rs
+++ b/crates/sloetrail-serving/src/owner/mod.rs
@@ -4,9 +4,9 @@
 //! The node that holds the lease of a [`BatchSet`] ([`crate::leases`]) runs a
 //! [`service_owner::ServiceOwner`]. It loads open batches from the table, sends items to engines
 //! ([`run`]), has complete texts scored ([`reward_queue`], [`reward`]), commits results in
-//! groups ([`committer`]) and brings engines to the published weight versions ([`rollout_plan`],
+//! groups ([`committer`]) and brings engines to the published weight versions ([`weight_update_plan`],
 //! [`order_task`]). Only the owner of unbound batches sends orders to engines; the other owners
-//! report their slot demand to it ([`place_demand`]).
+//! report their slot demand to it ([`slot_demand`]).
 
 mod assignment;
 mod batch_scheduler;
@@ -19,14 +19,13 @@
 mod item_timeline;
 mod loading;
 mod order_task;
-mod place_demand;
-mod place_usage;
 mod publications;
 mod reward;
 mod reward_queue;
-mod rollout_plan;
 mod run;
 mod service_owner;
+mod slot_demand;
+mod slot_usage;
 mod sweeper;
 
 use self::service_owner::ServiceOwner;
--- a/crates/sloetrail-serving/src/owner/reward.rs
+++ b/crates/sloetrail-serving/src/owner/reward.rs
@@ -1,7 +1,7 @@
-//! Scoring a whole text: a live request to another service, once for each turn that it gets
-//! ([`super::reward_queue`]).
+//! Scores a complete text with a live request to another service. Each attempt is scheduled by
+//! [`super::reward_queue`].
 
-use super::reward_queue::Lane;
+use super::reward_queue::ScoringTarget;
 use crate::context::NodeContext;
 use crate::events::{self, Event};
 use crate::gateway::attempt::OutgoingRequest;
@@ -18,38 +18,40 @@
 use std::sync::Arc;
 use tokio_util::sync::CancellationToken;
 
-/// How one try to score a text ended.
+/// Outcome of one attempt to score a text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum RewardOutcome {
-    /// The signature of the answer.
+    /// Holds the signature of the answer.
     Scored(String),
-    /// There is no score.
     NoScore(RewardFailure),
-    /// The owner gave it up.
+    /// The owner cancelled the attempt.
     Cancelled,
 }
 
-/// What a try that gave no score tells.
+/// Details of an attempt without a score.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RewardFailure {
-    /// Answers that say that the call itself failed.
+    /// Answers that report a failure of the call itself.
     pub(super) failed_answers: usize,
-    /// With so many of these the call is given up.
-    pub(super) allowed: usize,
-    /// True if nothing was sent, since no back end had a place.
-    pub(super) found_no_place: bool,
-    /// True if nothing was sent, since back ends crash under the call.
-    pub(super) is_kept_back: bool,
+    /// The call fails for good at this number of failed answers.
+    pub(super) max_failures: usize,
+    /// True if nothing was sent because no back end had a free slot.
+    pub(super) found_no_slot: bool,
+    /// True if nothing was sent because the call is quarantined.
+    pub(super) is_withheld: bool,
 }
 
-/// The place among texts that are to be scored, for an item of a batch that is bound to these
-/// regions.
-pub(super) fn lane(context: &NodeContext, reward: &RewardCall, regions: &AllowedRegions) -> Lane {
+/// Returns the target of a reward call for a batch that is bound to `regions`.
+pub(super) fn scoring_target(
+    context: &NodeContext,
+    reward: &RewardCall,
+    regions: &AllowedRegions,
+) -> ScoringTarget {
     let configuration = context.configuration();
     let route = configuration
         .as_ref()
         .and_then(|configuration| find_route(configuration, reward));
-    Lane {
+    ScoringTarget {
         service: route.and_then(|route| choose_service(route, &reward.id)),
         regions: match route {
             Some(route) => scoring_regions(&route.allowed_regions, regions),
@@ -58,8 +60,8 @@
     }
 }
 
-/// Makes a reward call once, as often as its route allows, for an item of a batch that is
-/// bound to these regions; `failures` are those before.
+/// Makes a reward call for an item of a batch that is bound to `regions`, with as many attempts
+/// as the route allows. `failures` counts the failed answers of earlier calls, for the log.
 pub(super) async fn score(
     context: &Arc<NodeContext>,
     item: &str,
@@ -67,14 +69,14 @@
     failures: usize,
     cancel: &CancellationToken,
 ) -> RewardOutcome {
-    let scoring = try_to_score(context, item, (reward, regions), failures);
+    let scoring = send_scoring_request(context, item, (reward, regions), failures);
     tokio::select! {
         outcome = scoring => outcome,
         () = cancel.cancelled() => RewardOutcome::Cancelled,
     }
 }
 
-async fn try_to_score(
+async fn send_scoring_request(
     context: &Arc<NodeContext>,
     item: &str,
     (reward, regions): (&RewardCall, &AllowedRegions),
@@ -82,24 +84,24 @@
 ) -> RewardOutcome {
     let mut failure = RewardFailure {
         failed_answers: 0,
-        allowed: usize::MAX,
-        found_no_place: true,
-        is_kept_back: false,
+        max_failures: usize::MAX,
+        found_no_slot: true,
+        is_withheld: false,
     };
-    let word = match prepare(context, reward, regions) {
+    let outcome_title = match prepare(context, reward, regions) {
         None => "no route".to_owned(),
         Some(call) => {
             let outcome = call.run().await;
             failure.failed_answers = outcome.failed_answers;
-            failure.allowed = call.route.max_attempts;
-            failure.found_no_place = outcome.attempts == 0;
+            failure.max_failures = call.route.max_attempts;
+            failure.found_no_slot = outcome.attempts == 0;
             match outcome.answer {
                 Ok(answer) => match score_of(context, &answer) {
                     Some(score) => return RewardOutcome::Scored(score),
                     None => answer.status.as_str().to_owned(),
                 },
                 Err(problem) => {
-                    failure.is_kept_back = problem.is(ResultCode::RequestQuarantined);
+                    failure.is_withheld = problem.is(ResultCode::RequestQuarantined);
                     problem.title
                 }
             }
@@ -109,12 +111,12 @@
         item,
         reward: &reward.id,
         failures: failures + failure.failed_answers,
-        outcome: &word,
+        outcome: &outcome_title,
     });
     RewardOutcome::NoScore(failure)
 }
 
-/// The score that an answer gives, if it gives one.
+/// Returns the signature header of a successful answer.
 fn score_of(context: &NodeContext, answer: &WholeAnswer) -> Option<String> {
     let name = &context.dialect.headers().signature;
     let signature = headers::text(&answer.headers, name).map(str::to_owned);
@@ -149,9 +151,8 @@
     })
 }
 
-/// Where a text may be scored: in the regions of the reward call's route, and of these in
-/// those of its batch. A batch whose regions have none in common with the route's was
-/// accepted all the same; the route's bind then.
+/// Returns the regions that both the reward call's route and the batch allow. If they have none
+/// in common, the regions of the route apply.
 fn scoring_regions(of_route: &AllowedRegions, of_batch: &AllowedRegions) -> AllowedRegions {
     let common = of_route.and(of_batch);
     match common.is_nowhere() {
@@ -160,7 +161,7 @@
     }
 }
 
-/// A service by weight, drawn from the call's id.
+/// Chooses a service by weight, deterministically for a call id.
 fn choose_service(route: &Route, id: &str) -> Option<ServiceName> {
     let offset = sloetrail_types::digest(id.as_bytes()) as f64 / u64::MAX as f64;
     let part = WeightedChoice::new(offset).next(&route.services)?.clone();
@@ -169,16 +170,16 @@
 
 fn outgoing(context: &NodeContext, reward: &RewardCall) -> OutgoingRequest {
     let names = context.dialect.headers();
-    let mut sent = HeaderMap::new();
-    headers::set_text(&mut sent, &HOST, &reward.host);
-    headers::set_text(&mut sent, &names.request_id, &reward.id);
+    let mut request_headers = HeaderMap::new();
+    headers::set_text(&mut request_headers, &HOST, &reward.host);
+    headers::set_text(&mut request_headers, &names.request_id, &reward.id);
     let octets = HeaderValue::from_static("application/octet-stream");
-    sent.insert(CONTENT_TYPE, octets);
+    request_headers.insert(CONTENT_TYPE, octets);
     OutgoingRequest {
         request_id: reward.id.clone(),
         method: Method::POST,
         path_and_query: reward.path.clone(),
-        headers: sent,
+        headers: request_headers,
         body: reward.body.clone(),
     }
 }
--- a/crates/sloetrail-serving/src/owner/service_owner.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner.rs
@@ -20,11 +20,11 @@
 use super::engines::EnginePool;
 use super::event::OwnerEvent;
 use super::item_timeline::ItemTimeline;
-use super::place_demand::DemandReporter;
-use super::place_usage::{OpenItems, PlaceUsage};
 use super::publications::Publications;
 use super::reward_queue::RewardQueue;
 use super::run::RunProgress;
+use super::slot_demand::DemandReporter;
+use super::slot_usage::{OpenItems, SlotUsage};
 use super::sweeper;
 use crate::context::NodeContext;
 use crate::follow::{PollTiming, ViewReceiver, follow};
@@ -100,7 +100,7 @@
         let all = self.batch.waiting() + self.runs.len();
         OpenItems {
             all,
-            at_a_time: self.estimate.width.map_or(all, |width| width.min(all)),
+            max_concurrent: self.estimate.width.map_or(all, |width| width.min(all)),
         }
     }
 
@@ -131,7 +131,7 @@
     version_lags: BTreeMap<String, u64>,
     /// Complete texts that wait for their score.
     rewards: RewardQueue,
-    usage: PlaceUsage,
+    usage: SlotUsage,
     lengths: LengthModel,
     /// Items that are suspected of crashing engines.
     quarantined: QuarantinedItems,
@@ -184,7 +184,7 @@
             leftover_texts: BTreeMap::new(),
             version_lags: BTreeMap::new(),
             rewards: RewardQueue::default(),
-            usage: PlaceUsage::default(),
+            usage: SlotUsage::default(),
             lengths: LengthModel::default(),
             quarantined: QuarantinedItems::default(),
             publications: Publications::default(),
@@ -301,7 +301,7 @@
         let budgets = settings.cold.budgets(configuration, &leased, &self.service);
         let budget = |zone: &ZoneName| {
             let region = settings.topology.region_of(zone);
-            budgets.as_ref().map(|budgets| budgets.of_region(region))
+            budgets.as_ref().map(|budgets| budgets.for_region(region))
         };
         self.engines.set_send_limits(|back_end| SendLimits {
             evacuated: evacuations.covers(&back_end.zone),
@@ -381,24 +381,24 @@
 
     fn record_slot_usage(&mut self) {
         let now_ms = self.context.table.now_ms().unwrap_or_default();
-        let mut at_a_time = 0;
+        let mut max_concurrent = 0;
         for model in self.models() {
             let open = self.batches.values();
             let of_model = open.filter(|open| open.batch.model.as_ref() == Some(&model));
             let mut items = OpenItems {
                 all: self.other_batches.items(&model, now_ms),
-                at_a_time: self.other_batches.items(&model, now_ms),
+                max_concurrent: self.other_batches.items(&model, now_ms),
             };
             for open in of_model {
                 let of_batch = open.items();
                 items.all += of_batch.all;
-                items.at_a_time += of_batch.at_a_time;
+                items.max_concurrent += of_batch.max_concurrent;
             }
-            at_a_time += items.at_a_time;
+            max_concurrent += items.max_concurrent;
             let slots = self.engines.slots_for_model(&model);
             self.usage.note(&model, items, slots);
         }
-        let enough = at_a_time * SLOTS_PER_ITEM;
+        let enough = max_concurrent * SLOTS_PER_ITEM;
         if !self.engines.has_slots(enough, BootInstant::now()) {
             self.context.subset_demand.demand_more();
         }
--- a/crates/sloetrail-serving/src/owner/service_owner/demand.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/demand.rs
@@ -5,7 +5,7 @@
 use crate::events::{self, Event};
 use crate::leases::Term;
 use crate::owner::event::{DemandWriteOutcome, OwnerEvent};
-use crate::owner::place_demand::{DemandRow, StoredDemand};
+use crate::owner::slot_demand::{DemandRow, StoredDemand};
 use crate::rows;
 use crate::table::Commit;
 use sloetrail_clock::BootInstant;
@@ -19,7 +19,7 @@
         }
         let running: usize = self.batches.values().map(|open| open.runs.len()).sum();
         let waiting: usize = self.batches.values().map(|open| open.batch.waiting()).sum();
-        self.demand.note(running, running + waiting);
+        self.demand.record(running, running + waiting);
         let table = &self.context.table;
         let now = BootInstant::now();
         let Some(now_ms) = table.now_ms().filter(|_| table.is_answering()) else {
@@ -49,7 +49,7 @@
     /// The set's row in this node's view, whichever owner wrote it.
     fn stored_demand(&self) -> StoredDemand {
         let view = self.context.leases.borrow().clone();
-        let address = rows::place_demand(self.term.resource.name());
+        let address = rows::slot_demand(self.term.resource.name());
         let Some(row) = view.rows.get(&address.key) else {
             return StoredDemand::Absent;
         };
@@ -66,7 +66,7 @@
 }
 
 async fn write_demand(context: &NodeContext, term: &Term, row: &DemandRow) -> DemandWriteOutcome {
-    let address = rows::place_demand(term.resource.name());
+    let address = rows::slot_demand(term.resource.name());
     let transaction = term.transaction().put(address, row.encode());
     let outcome = match context.table.commit(&transaction).await {
         Ok(Commit::Done(_)) => DemandWriteOutcome::Done,
--- a/crates/sloetrail-serving/src/owner/service_owner/supply.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/supply.rs
@@ -7,13 +7,13 @@
 use crate::lease_holder::LeaseHolder;
 use crate::leases::{OrderWindow, Term};
 use crate::owner::event::{OwnerEvent, SupplyOrdersOutcome};
-use crate::owner::place_demand::HeardDemands;
+use crate::owner::slot_demand::ReceivedDemands;
 use crate::rows;
 use crate::table::{Commit, read_row};
 use crate::telemetry;
 use sloetrail_batch::BatchHeader;
 use sloetrail_clock::BootInstant;
-use sloetrail_scaling::{FleetScaler, ScalingBounds, ZoneNow, ZonesNow};
+use sloetrail_scaling::{FleetScaler, ScalingBounds, ZoneLoad, ZoneLoads};
 use sloetrail_types::{ServiceName, Timestamp, ZoneName};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -38,7 +38,7 @@
     origin: BootInstant,
     scaler: FleetScaler,
     /// Slot demand of region-bound batches, as reported by their owners.
-    received: HeardDemands,
+    received: ReceivedDemands,
     /// By model, when its last batch was accepted, by the table's clock.
     accepted_at_ms: BTreeMap<String, u64>,
     baseline: EngineBaseline,
@@ -52,7 +52,7 @@
         Self {
             origin: BootInstant::now(),
             scaler: FleetScaler::default(),
-            received: HeardDemands::default(),
+            received: ReceivedDemands::default(),
             accepted_at_ms: BTreeMap::new(),
             baseline: EngineBaseline::Unknown(BootInstant::now()),
             planned: Vec::new(),
@@ -72,7 +72,7 @@
         let since_previous = before
             .and_then(|before| accepted_at_ms.checked_sub(before))
             .map(Duration::from_millis);
-        self.scaler.note_batch(self.now(), since_previous);
+        self.scaler.record_batch(self.now(), since_previous);
     }
 }
 
@@ -84,8 +84,8 @@
         }
         let share = age.as_millis() as f64 / header.run_target_ms as f64;
         match self.set.controls_engine_count() {
-            true => self.supply.scaler.note_step(self.supply.now(), share),
-            false => self.demand.note_step(share),
+            true => self.supply.scaler.record_step(self.supply.now(), share),
+            false => self.demand.record_step(share),
         }
     }
 
@@ -122,11 +122,11 @@
         self.order_supply(supply);
     }
 
-    fn record_supply_load(&mut self, now: Timestamp, zones: &ZonesNow) {
+    fn record_supply_load(&mut self, now: Timestamp, zones: &ZoneLoads) {
         let now_ms = self.context.table.now_ms().unwrap_or_default();
         let is_answering = self.context.table.is_answering();
         if !is_answering {
-            self.supply.received.note_table_away(now_ms);
+            self.supply.received.record_table_outage(now_ms);
         }
         let leases = self.context.leases.borrow().clone();
         let steps = self
@@ -141,12 +141,12 @@
         let is_complete = is_answering && !self.other_batches.any_active(now_ms, is_unreported);
         let running = self.batches.values().map(|open| open.runs.len()).sum();
         let scaler = &mut self.supply.scaler;
-        scaler.note_load(now, running, zones, &works);
+        scaler.record_load(now, running, zones, &works);
         for step in steps {
-            scaler.note_bound_step(now, &step.regions, step.share);
+            scaler.record_bound_step(now, &step.regions, step.share);
         }
         if !is_complete {
-            scaler.note_load_incomplete(now);
+            scaler.record_load_incomplete(now);
         }
     }
 
@@ -189,7 +189,7 @@
     fn plan_supply(
         &mut self,
         now: Timestamp,
-        zones: &ZonesNow,
+        zones: &ZoneLoads,
         bounds: &ScalingBounds,
         baseline: usize,
     ) -> Vec<SupplyOrder> {
@@ -211,15 +211,15 @@
     /// Returns the available engines by zone and the slots that this owner's items use there.
     /// A zone without engines is included if it has a price. An evacuated zone is omitted: its
     /// engine count stays unchanged and the missing engines are ordered in other zones.
-    fn zones_now(&self, bounds: &ScalingBounds) -> ZonesNow {
+    fn zones_now(&self, bounds: &ScalingBounds) -> ZoneLoads {
         let topology = &self.context.settings.topology;
-        let empty = |zone: &ZoneName| ZoneNow {
+        let empty = |zone: &ZoneName| ZoneLoad {
             region: topology.region_of(zone).cloned(),
             engines: 0,
-            busy: 0,
+            busy_slots: 0,
         };
         let priced = bounds.zone_prices.keys();
-        let mut zones: ZonesNow = priced.map(|zone| (zone.clone(), empty(zone))).collect();
+        let mut zones: ZoneLoads = priced.map(|zone| (zone.clone(), empty(zone))).collect();
         for (_, engine) in self.engines.iter() {
             let zone = &engine.back_end.zone;
             let state = zones.entry(zone.clone()).or_insert_with(|| empty(zone));
@@ -230,7 +230,7 @@
             let engine = self.engines.get(&run.engine);
             let zone = engine.and_then(|engine| zones.get_mut(&engine.back_end.zone));
             if let Some(zone) = zone {
-                zone.busy += 1;
+                zone.busy_slots += 1;
             }
         }
         let evacuations = Arc::clone(&self.context.in_force.borrow().evacuations);
@@ -322,7 +322,7 @@
             zone: order.zone.as_str(),
             engines: order.engines,
             epoch: self.owner.epoch.0,
-            outcome: answer.word(),
+            outcome: answer.as_str(),
             status: answer.status(),
         });
     }
--- a/crates/sloetrail-serving/src/owner/service_owner/versions.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/versions.rs
@@ -7,7 +7,7 @@
 use crate::owner::engine::VersionChangeInFlight;
 use crate::owner::event::{OwnerEvent, WeightOrderOutcome};
 use crate::owner::order_task::OrderTask;
-use crate::owner::rollout_plan::{ModelTarget, concurrent_changes, plan};
+use crate::owner::weight_update_plan::{ModelTarget, max_concurrent_changes, plan};
 use sloetrail_batch::{Batch, BatchHeader};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::WeightVersion;
@@ -47,7 +47,7 @@
             return;
         }
         let min_concurrent = self.context.settings.bounds.concurrent_loads;
-        let concurrent = concurrent_changes(self.engines.len(), min_concurrent);
+        let concurrent = max_concurrent_changes(self.engines.len(), min_concurrent);
         let targets = self.model_targets();
         let orders = plan(&self.engines, &targets, concurrent, BootInstant::now());
         if orders.is_empty() {
@@ -120,7 +120,7 @@
             ),
         };
         ModelTarget {
-            needed: self.needed_version(&model, published),
+            min_usable: self.needed_version(&model, published),
             model,
             published,
             ready_share,
--- a/crates/sloetrail-serving/src/owner/rollout_plan.rs
+++ b/crates/sloetrail-serving/src/owner/weight_update_plan.rs
@@ -1,10 +1,10 @@
-//! Which engines change their weights next.
+//! Plans which engines change their weights next.
 //!
-//! A change takes an engine out for about a second, and only a few engines may change
-//! at a time. Engines that the next batch of their model could not use go first, for
-//! the model with the smallest usable share; engines that merely lag behind follow, of
-//! which half stay in service. While a model needs only part of its places, only part
-//! of its engines get each version, and the others the next one.
+//! An engine takes no work during a change, and only a few engines may change at a time.
+//! Engines that the next batch of their model cannot use go first, starting with the model with
+//! the smallest usable share. Engines that can be used but lag behind follow; at most half of a
+//! model's engines change at a time. A model that needs only part of its slots gets each version
+//! on only part of its engines.
 
 use super::engine::Engine;
 use super::engines::EnginePool;
@@ -13,48 +13,45 @@
 use sloetrail_types::{EngineId, WeightVersion};
 use std::cmp::Reverse;
 
-/// Of the engines of a service one in this many may change at a time.
+/// One in this many engines of a service may change at a time.
 const CHANGING_DIVISOR: usize = 5;
-/// Of a model's engines that batches can use one in this many may change at a time.
+/// Lagging engines of a model change only while fewer than one in this many are changing.
 const USABLE_CHANGING_DIVISOR: usize = 2;
 const PER_THOUSAND: usize = 1_000;
-/// Engines of a model that are kept ready though it needs none: enough for its next batch to
-/// begin at once, also if one of them is lost. A share of the engines in place of a number
-/// grows with the fleet and not with the work: at 972 engines a model it was 97, each with an
-/// order and a connection a version.
-const READY_LEAST: usize = 3;
+/// Minimum number of ready engines of a model without load, so that its next batch can start at
+/// once even if an engine is lost.
+const MIN_READY_ENGINES: usize = 3;
 
-/// What the versions of one model have come to.
+/// Target weight versions of one model.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ModelTarget {
-    /// The model.
     pub(super) model: String,
-    /// The newest version, which engines are brought to.
+    /// Newest version, which engines are updated to.
     pub(super) published: WeightVersion,
-    /// The oldest version that the newest batch can use.
-    pub(super) needed: WeightVersion,
-    /// The share of the model's engines that should be ready for the newest batch; the
-    /// others keep the version that they have.
+    /// Oldest version that the newest batch can use.
+    pub(super) min_usable: WeightVersion,
+    /// Share of the model's engines that should be ready for the newest batch. The others keep
+    /// their version.
     pub(super) ready_share: f64,
-    /// Of these, the share that should have the newest version; others keep theirs as
-    /// long as batches can use it.
+    /// Share of the ready engines that should have the newest version. The others keep their
+    /// version while batches can use it.
     pub(super) newest_share: f64,
 }
 
-/// How many of `engines` may change at a time: a fifth, but at least `least`.
-pub(super) fn concurrent_changes(engines: usize, least: usize) -> usize {
-    engines.div_ceil(CHANGING_DIVISOR).max(least)
+/// Returns how many of `engines` may change at a time, at least `minimum`.
+pub(super) fn max_concurrent_changes(engines: usize, minimum: usize) -> usize {
+    engines.div_ceil(CHANGING_DIVISOR).max(minimum)
 }
 
-/// The orders to give now, with at most `concurrent` changes at a time.
+/// Returns the weight orders to give now, with at most `concurrent` changes at a time.
 pub(super) fn plan(
     pool: &EnginePool,
     targets: &[ModelTarget],
     concurrent: usize,
     now: BootInstant,
 ) -> Vec<PlannedOrder> {
-    let under_way = pool.iter().filter(|(_, engine)| is_changing(engine));
-    let free = concurrent.saturating_sub(under_way.count());
+    let changing = pool.iter().filter(|(_, engine)| is_changing(engine));
+    let free = concurrent.saturating_sub(changing.count());
     if free == 0 {
         return Vec::new();
     }
@@ -64,8 +61,12 @@
         .collect();
     (0..free)
         .map_while(|_| {
-            let turns = queues.iter_mut().filter(|queue| queue.turn().is_some());
-            turns.min_by_key(|queue| queue.turn())?.take()
+            let candidates = queues
+                .iter_mut()
+                .filter(|queue| queue.next_priority().is_some());
+            candidates
+                .min_by_key(|queue| queue.next_priority())?
+                .take_next()
         })
         .collect()
 }
@@ -74,44 +75,45 @@
     engine.change.is_some() || engine.has_order_in_flight
 }
 
-/// A share of a number of engines, rounded up.
+/// Returns a share of `engines`, rounded up.
 fn share_of(engines: usize, share: f64) -> usize {
     (engines as f64 * share).ceil() as usize
 }
 
-/// Decides whose turn it is: the smallest goes first.
+/// Order of weight updates; the smallest goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Turn {
-    /// Engines that the newest batch cannot use go before the others.
+struct UpdatePriority {
+    /// False if the newest batch cannot use the engine; such engines go first.
     is_usable: bool,
-    /// Engines of the model that are usable or changing, per thousand assigned.
+    /// Usable or changing engines of the model per thousand assigned.
     served_share: usize,
-    /// The version in use.
+    /// Current version of the engine.
     version: WeightVersion,
-    /// Items at the engine.
+    /// Items running on the engine.
     running: usize,
 }
 
-/// An engine that is due.
-struct Due<'a> {
+/// An engine that is due for a weight update.
+struct DueEngine<'a> {
     id: &'a EngineId,
     version: WeightVersion,
     running: usize,
 }
 
-/// The engines of one model, and those that are due in the order of their turns.
+/// Engines of one model: counts by state, and queues of the engines due for a weight update.
 struct ModelQueue<'a> {
     target: &'a ModelTarget,
     assigned: usize,
+    /// Engines that are usable or changing.
     served: usize,
-    /// Of those served, the ones that were not lost lately.
+    /// Served engines that were not recently lost, did not recently refuse, and are not slow.
     ready: usize,
     newest: usize,
     changing: usize,
-    /// Engines that the newest batch cannot use; the next one stands last.
-    unusable: Vec<Due<'a>>,
-    /// Engines that it can use; the next one stands last.
-    lagging: Vec<Due<'a>>,
+    /// Engines that the newest batch cannot use; the next one is last.
+    unusable: Vec<DueEngine<'a>>,
+    /// Engines that it can use but that lack the newest version; the next one is last.
+    lagging: Vec<DueEngine<'a>>,
 }
 
 impl<'a> ModelQueue<'a> {
@@ -139,7 +141,7 @@
 
     fn add(&mut self, id: &'a EngineId, engine: &Engine, now: BootInstant) {
         let version = engine.version(&self.target.model);
-        let is_usable = version >= self.target.needed;
+        let is_usable = version >= self.target.min_usable;
         self.assigned += 1;
         self.changing += usize::from(is_changing(engine));
         let is_served = is_usable || is_changing(engine);
@@ -159,22 +161,22 @@
             true => &mut self.lagging,
             false => &mut self.unusable,
         };
-        due.push(Due {
+        due.push(DueEngine {
             id,
             version,
             running: engine.running,
         });
     }
 
-    /// The turn of the engine that is next; nothing if none may change now.
-    fn turn(&self) -> Option<Turn> {
-        let is_usable = !self.needs_ready();
+    /// Returns the priority of the next engine. None if no engine may change now.
+    fn next_priority(&self) -> Option<UpdatePriority> {
+        let is_usable = !self.needs_more_ready();
         let next = match is_usable {
-            true if self.needs_newest() => self.lagging.last()?,
+            true if self.needs_more_newest() => self.lagging.last()?,
             true => return None,
             false => self.unusable.last()?,
         };
-        Some(Turn {
+        Some(UpdatePriority {
             is_usable,
             served_share: self.served * PER_THOUSAND / self.assigned,
             version: next.version,
@@ -182,26 +184,26 @@
         })
     }
 
-    fn needs_ready(&self) -> bool {
-        !self.unusable.is_empty() && self.ready < self.ready_enough()
+    fn needs_more_ready(&self) -> bool {
+        !self.unusable.is_empty() && self.ready < self.target_ready()
     }
 
-    fn needs_newest(&self) -> bool {
+    fn needs_more_newest(&self) -> bool {
         let may_change = self.assigned.div_ceil(USABLE_CHANGING_DIVISOR);
-        self.changing < may_change && self.newest < self.newest_enough()
+        self.changing < may_change && self.newest < self.target_newest()
     }
 
-    fn ready_enough(&self) -> usize {
-        let wanted = share_of(self.assigned, self.target.ready_share);
-        wanted.max(READY_LEAST).min(self.assigned)
+    fn target_ready(&self) -> usize {
+        let ready = share_of(self.assigned, self.target.ready_share);
+        ready.max(MIN_READY_ENGINES).min(self.assigned)
     }
 
-    fn newest_enough(&self) -> usize {
-        share_of(self.ready_enough(), self.target.newest_share)
+    fn target_newest(&self) -> usize {
+        share_of(self.target_ready(), self.target.newest_share)
     }
 
-    fn take(&mut self) -> Option<PlannedOrder> {
-        let was_unusable = self.needs_ready();
+    fn take_next(&mut self) -> Option<PlannedOrder> {
+        let was_unusable = self.needs_more_ready();
         let due = match was_unusable {
             true => &mut self.unusable,
             false => &mut self.lagging,
