--- a/crates/sloetrail-serving/src/directory.rs
+++ b/crates/sloetrail-serving/src/directory.rs
@@ -32,9 +32,9 @@
     pub back_ends: BTreeMap<EngineId, Arc<BackEnd>>,
     /// The version up to which changes are applied.
     pub version: RowVersion,
-    /// True if it has every row of the table.
+    /// True if it includes every row of the table.
     pub(crate) covers_all: bool,
-    /// The key ranges that it has; None before the first read.
+    /// The key ranges that it covers; None before the first read.
     ranges: Option<KeyRanges>,
     /// The number of rows in the table, estimated from the subset.
     pub(crate) total_rows: usize,
--- a/crates/sloetrail-serving/src/follow/poll_timing.rs
+++ b/crates/sloetrail-serving/src/follow/poll_timing.rs
@@ -139,7 +139,7 @@
 /// The poll timing of each table that a node follows.
 #[derive(Clone, Debug)]
 pub struct PollTimings {
-    /// The operator's rows. Changes take effect as soon as an answer has them.
+    /// The operator's rows. Changes take effect as soon as an answer delivers them.
     pub operator: PollTiming,
     /// The directory, whose rows change with each heartbeat.
     pub directory: PollTiming,
--- a/crates/sloetrail-serving/src/follow/subset.rs
+++ b/crates/sloetrail-serving/src/follow/subset.rs
@@ -20,7 +20,7 @@
 const FIRST_READ_SPREAD: Duration = Duration::from_secs(4);
 
 /// A view with more than this multiple of the demanded rows is reduced. Views grow because the
-/// changes have the rows of all back ends that start after the node.
+/// changes include the rows of all back ends that start after the node.
 const MAX_GROWTH_FACTOR: usize = 2;
 
 /// The share of nodes that write the index of a directory that has grown: enough to survive
--- a/crates/sloetrail-serving/src/follow/subset/tests.rs
+++ b/crates/sloetrail-serving/src/follow/subset/tests.rs
@@ -238,7 +238,7 @@
     assert!(table.rows_read() <= max_rows, "{} rows", table.rows_read());
 }
 
-/// If nodes and back ends start together, the changes have the rows of every back end.
+/// If nodes and back ends start together, the changes include the rows of every back end.
 #[tokio::test(start_paused = true)]
 async fn views_of_a_growing_directory_are_reduced() {
     let table = CountingTable::with_back_ends(0);
