--- a/crates/sloetrail-serving/src/owner/service_owner/batches.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/batches.rs
@@ -90,7 +90,7 @@
 
     pub(super) fn open_batch(&mut self, id: BatchId, loaded: Option<LoadedBatch>) {
         let Some(LoadedBatch { mut batch, listed }) = loaded else {
-            // Some rows may not have arrived yet. The next change of the view retries.
+            // Some rows may not have arrived yet. The next change of the view loads the batch again.
             self.known_batches.remove(&id);
             return;
         };
@@ -180,8 +180,8 @@
         };
         let is_expired = |open: &OpenBatch| {
             let header = &open.batch.header;
-            let kept_until = header.accepted_at_ms + header.retention_ms + RETENTION_MARGIN_MS;
-            header.accepted_at_ms > 0 && now_ms > kept_until
+            let retained_until = header.accepted_at_ms + header.retention_ms + RETENTION_MARGIN_MS;
+            header.accepted_at_ms > 0 && now_ms > retained_until
         };
         let expired: Vec<BatchId> = self
             .batches
