--- a/crates/sloetrail-serving/src/owner/service_owner.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner.rs
@@ -89,11 +89,11 @@
 
     fn update_estimate(&mut self, lengths: &LengthModel) {
         let runs = &self.runs;
-        let made = |index| {
+        let generated = |index| {
             let run: Option<&ActiveRun> = runs.get(&index);
             run.map_or(0, |run| run.progress.events())
         };
-        self.estimate = self.batch.outlook(lengths, self.age(), made);
+        self.estimate = self.batch.outlook(lengths, self.age(), generated);
     }
 
     fn items(&self) -> OpenItems {
--- a/crates/sloetrail-serving/src/owner/service_owner/batches.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/batches.rs
@@ -90,7 +90,7 @@
 
     pub(super) fn open_batch(&mut self, id: BatchId, loaded: Option<LoadedBatch>) {
         let Some(LoadedBatch { mut batch, listed }) = loaded else {
-            // Some rows may not have arrived yet. The next change of the view loads the batch again.
+            // Some rows may not have arrived yet. The next change of the view loads it again.
             self.known_batches.remove(&id);
             return;
         };
--- a/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
@@ -176,9 +176,9 @@
         return None;
     }
     let event_interval_us = engines.get(&run.engine)?.pace.microseconds()?;
-    let made = run.progress.events();
+    let generated = run.progress.events();
     let hint = batch.item(index).expected_length;
-    let remaining = lengths.remaining_events(hint, made)?;
+    let remaining = lengths.remaining_events(hint, generated)?;
     Some(Candidate {
         index,
         remaining,
--- a/crates/sloetrail-serving/tests/too_old.rs
+++ b/crates/sloetrail-serving/tests/too_old.rs
@@ -44,7 +44,7 @@
     results.iter().map(|result| &result["id"]).collect()
 }
 
-/// The oldest version that made an event of a result.
+/// The oldest version that generated an event of a result.
 fn oldest_of(result: &Value) -> u64 {
     let versions = result["versions"].as_array().expect("versions");
     let numbers = versions.iter().filter_map(Value::as_u64);
@@ -165,7 +165,7 @@
             .any(|engine| !engine.events().is_empty())
             .then_some(())
     };
-    eventually("an event is made", has_event).await;
+    eventually("an event is generated", has_event).await;
     let path = format!(
         "{}b1?after=0&oldest_version=2",
         CallerPaths::default().batches
