--- a/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
@@ -179,10 +179,10 @@
     if is_recent || run.cancel.is_cancelled() {
         return None;
     }
-    let event_interval_us = engines.get(&run.engine)?.event_interval.microseconds()?;
-    let made = run.progress.event_count();
+    let event_interval_us = engines.get(&run.engine)?.pace.microseconds()?;
+    let generated = run.progress.events();
     let hint = batch.item(index).expected_length;
-    let remaining = lengths.remaining_events(hint, made)?;
+    let remaining = lengths.remaining_events(hint, generated)?;
     Some(Candidate {
         index,
         remaining,
