--- a/crates/sloetrail-serving/src/gateway/attempt.rs
+++ b/crates/sloetrail-serving/src/gateway/attempt.rs
@@ -48,7 +48,7 @@
 }
 
 impl AttemptResult {
-    /// The outcome to report to the load balancer.
+    /// Returns the outcome to report to the load balancer.
     pub(crate) fn outcome(&self) -> AttemptOutcome {
         match self {
             AttemptResult::Answered(_) => AttemptOutcome::Answered,
@@ -78,7 +78,7 @@
         matches!(self, AttemptResult::TimedOut)
     }
 
-    /// A label for logs and metrics.
+    /// Returns the label for logs and metrics.
     pub(crate) fn as_str(&self) -> &'static str {
         match self {
             AttemptResult::Answered(_) => "answered",
--- a/crates/sloetrail-serving/src/gateway/call_handler.rs
+++ b/crates/sloetrail-serving/src/gateway/call_handler.rs
@@ -34,7 +34,7 @@
 /// Answers are due this long before the caller's timeout.
 const ANSWER_MARGIN: Duration = Duration::from_millis(15);
 const NOT_READY_RETRY_MS: u64 = 200;
-const FULL_RETRY_MS: u64 = 250;
+const BODY_BUDGET_RETRY_MS: u64 = 250;
 
 /// Routes and answers all calls from callers and trainers.
 pub(crate) struct CallHandler {
@@ -310,7 +310,7 @@
             if !reservation.try_grow(chunk.len()) {
                 let detail = "the node's budget for request bodies is used up";
                 let problem = Problem::new(ResultCode::QueueFull, detail);
-                return Err(problem.with_retry_after_ms(FULL_RETRY_MS));
+                return Err(problem.with_retry_after_ms(BODY_BUDGET_RETRY_MS));
             }
             bytes.extend_from_slice(&chunk);
         }
--- a/crates/sloetrail-serving/src/gateway/result_wait.rs
+++ b/crates/sloetrail-serving/src/gateway/result_wait.rs
@@ -1,4 +1,4 @@
-//! How long a long poll for results lasts.
+//! The duration of a long poll for results.
 //!
 //! A trainer continues once the groups that it requires are complete. Answering it earlier
 //! would delay the completing results until its next read, so the poll lasts until the required
