--- a/crates/sloetrail-serving/src/leases/manager.rs
+++ b/crates/sloetrail-serving/src/leases/manager.rs
@@ -220,8 +220,8 @@
         }
     }
 
-    /// Takes over a lease that is held by this node without an active term. It belongs to an
-    /// earlier incarnation, or to a take-over whose answer was lost.
+    /// Returns the write that takes over a lease in this node's name without an active term. Such
+    /// a lease belongs to an earlier incarnation, or to a take-over whose answer was lost.
     fn take_over_from_own_node(&self) -> Option<LeaseAction> {
         if self.active_term.is_some() {
             return None;
@@ -231,7 +231,8 @@
         is_own_node.then(|| self.watcher.take_over()).flatten()
     }
 
-    /// Takes over a lease whose holder was found to be gone, without waiting for its expiry.
+    /// Returns the write that takes the lease over before it expires, if its holder was found to
+    /// be gone.
     fn take_over_from_gone_holder(&mut self) -> Option<LeaseAction> {
         let watched = match self.active_term {
             Some(_) => None,
