--- a/crates/sloetrail-serving/src/owner/mod.rs
+++ b/crates/sloetrail-serving/src/owner/mod.rs
@@ -27,6 +27,7 @@
 mod slot_demand;
 mod slot_usage;
 mod sweeper;
+mod weight_update_plan;
 
 use self::service_owner::ServiceOwner;
 use crate::context::NodeContext;
--- a/crates/sloetrail-serving/src/owner/service_owner.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner.rs
@@ -396,7 +396,7 @@
             }
             max_concurrent += items.max_concurrent;
             let slots = self.engines.slots_for_model(&model);
-            self.usage.note(&model, items, slots);
+            self.usage.record(&model, items, slots);
         }
         let enough = max_concurrent * SLOTS_PER_ITEM;
         if !self.engines.has_slots(enough, BootInstant::now()) {
--- a/crates/sloetrail-serving/src/owner/service_owner/demand.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/demand.rs
@@ -58,7 +58,8 @@
     }
 
     pub(super) fn demand_written(&mut self, outcome: DemandWriteOutcome) {
-        self.demand.written(outcome == DemandWriteOutcome::Done);
+        self.demand
+            .record_write(outcome == DemandWriteOutcome::Done);
         if outcome == DemandWriteOutcome::Fenced {
             self.term.ended.cancel();
         }
--- a/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
@@ -179,8 +179,8 @@
     if is_recent || run.cancel.is_cancelled() {
         return None;
     }
-    let event_interval_us = engines.get(&run.engine)?.pace.microseconds()?;
-    let generated = run.progress.events();
+    let event_interval_us = engines.get(&run.engine)?.event_interval.microseconds()?;
+    let generated = run.progress.event_count();
     let hint = batch.item(index).expected_length;
     let remaining = lengths.remaining_events(hint, generated)?;
     Some(Candidate {
--- a/crates/sloetrail-serving/src/owner/service_owner/scoring.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/scoring.rs
@@ -92,12 +92,14 @@
             }
         };
         scoring.failures += failure.failed_answers;
-        if scoring.failures >= failure.allowed {
-            self.rewards.tried(now, scoring, ScoringOutcome::Settled);
+        if scoring.failures >= failure.max_failures {
+            self.rewards
+                .finish_attempt(now, scoring, ScoringOutcome::Settled);
             self.list_as_dead(&id, index, DeathCause::RewardFailed);
             return;
         }
-        self.rewards.tried(now, scoring, attempt_outcome(failure));
+        self.rewards
+            .finish_attempt(now, scoring, attempt_outcome(failure));
     }
 }
 
--- a/crates/sloetrail-serving/src/owner/service_owner/supply.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/supply.rs
@@ -132,9 +132,9 @@
         let steps = self
             .supply
             .received
-            .take_view(&leases, &self.service, now_ms);
+            .apply_view(&leases, &self.service, now_ms);
         let received = &self.supply.received;
-        let works = received.works(now_ms);
+        let works = received.bound_work(now_ms);
         let is_unreported = |header: &BatchHeader| {
             !received.covers(&header.allowed_regions, header.accepted_at_ms, now_ms)
         };
@@ -316,7 +316,7 @@
     }
 
     fn report(&self, order: &SupplyOrder, answer: SupplyAnswer) {
-        telemetry::engines_ordered(answer.word());
+        telemetry::engines_ordered(answer.as_str());
         events::emit(&Event::EnginesOrdered {
             service: order.service.as_str(),
             zone: order.zone.as_str(),
