--- a/crates/sloetrail-serving/tests/silent_connections.rs
+++ b/crates/sloetrail-serving/tests/silent_connections.rs
@@ -224,10 +224,7 @@
     let usual = submit("before").await;
     proxied.silence_all();
     let met = submit("meets-it").await;
-    assert!(
-        met < usual + Duration::from_millis(2_000),
-        "took {met:?}, {usual:?} before the fault"
-    );
+    assert!(met < usual + Duration::from_millis(2_000), "took {met:?}");
     let after = submit("after").await;
     assert!(
         after < usual + Duration::from_millis(500),
