--- a/crates/sloetrail-serving/src/gateway/live.rs
+++ b/crates/sloetrail-serving/src/gateway/live.rs
@@ -12,7 +12,7 @@
 use crate::events::{self, Event};
 use crate::http::{CompleteAnswer, Reuse};
 use crate::quarantine::{Passage, RequestIdentity};
-use crate::service_pools::Place;
+use crate::service_pools::SlotPermit;
 use crate::slot_waiter::SlotWaiter;
 use crate::telemetry;
 use crate::usage::BegunRequest;
@@ -68,7 +68,7 @@
 struct EndedAttempt {
     /// The number of the send, starting at 1.
     send: usize,
-    slot: Place,
+    slot: SlotPermit,
     result: AttemptResult,
     took: Duration,
 }
@@ -141,7 +141,7 @@
     pub(crate) fn log_failed_attempt(
         &self,
         quarantine_permit: &Passage,
-        slot: &Place,
+        slot: &SlotPermit,
         result: &AttemptResult,
         took: Duration,
     ) {
@@ -182,7 +182,7 @@
     /// Waits for a slot offer or until the next check. Returns false without waiting if the
     /// request should be refused.
     pub(crate) async fn wait_for_slot(&self, waiter: &mut SlotWaiter, wait: &mut SlotWait) -> bool {
-        let estimate = self.place_outlook(waiter);
+        let estimate = self.slot_wait_estimate(waiter);
         let is_above_share = estimate.is_some_and(|estimate| estimate.requests_ahead > 0);
         let now = BootInstant::now();
         let bounds = WaitBounds {
@@ -203,14 +203,14 @@
     /// Returns the retry delay if the request is refused.
     pub(crate) fn retry_after(&self, waiter: &SlotWaiter) -> Duration {
         let remaining = self.deadline.saturating_duration_since(BootInstant::now());
-        slot_wait::retry_after(self.place_outlook(waiter), remaining, rand::random())
+        slot_wait::retry_after(self.slot_wait_estimate(waiter), remaining, rand::random())
     }
 
     /// Describes why the request got no slot.
     pub(crate) fn no_slot_detail(&self, waiter: &SlotWaiter) -> String {
         let (service, regions) = (&self.service, &self.regions);
         match self
-            .place_outlook(waiter)
+            .slot_wait_estimate(waiter)
             .map(|estimate| estimate.requests_ahead)
         {
             None => format!("service {service}: no back end takes work in regions {regions}"),
@@ -225,14 +225,14 @@
     /// Returns the code of a request without a slot: `NoAllowedEngine` if its regions are
     /// restricted and no back end there takes work.
     pub(crate) fn no_engine_code(&self, waiter: &SlotWaiter) -> ResultCode {
-        match self.place_outlook(waiter) {
+        match self.slot_wait_estimate(waiter) {
             None if !self.regions.is_everywhere() => ResultCode::NoAllowedEngine,
             _ => ResultCode::NoEngine,
         }
     }
 
-    fn place_outlook(&self, waiter: &SlotWaiter) -> Option<SlotWaitEstimate> {
-        self.context.pools.place_outlook(waiter)
+    fn slot_wait_estimate(&self, waiter: &SlotWaiter) -> Option<SlotWaitEstimate> {
+        self.context.pools.slot_wait_estimate(waiter)
     }
 
     fn reuse(&self) -> Reuse {
@@ -414,7 +414,7 @@
         }
         if let AttemptResult::Answered(_) = &result {
             let pools = &self.call.context.pools;
-            pools.note_answer(&self.call.service, took);
+            pools.record_answer_time(&self.call.service, took);
         }
         self.count_attempt(&result, send);
         match result {
@@ -441,7 +441,7 @@
         }
     }
 
-    fn log_unless_answered(&self, slot: &Place, result: &AttemptResult, took: Duration) {
+    fn log_unless_answered(&self, slot: &SlotPermit, result: &AttemptResult, took: Duration) {
         if matches!(result, AttemptResult::Answered(_)) {
             return;
         }
--- a/crates/sloetrail-serving/src/gateway/stream.rs
+++ b/crates/sloetrail-serving/src/gateway/stream.rs
@@ -17,7 +17,7 @@
 use crate::event_stream::EventParser;
 use crate::http::{AnswerBody, CompleteAnswer, Exchange, Reuse, SendFailure};
 use crate::quarantine::{Passage, RunWatch};
-use crate::service_pools::Place;
+use crate::service_pools::SlotPermit;
 use crate::slot_waiter::SlotWaiter;
 use crate::usage::BegunRequest;
 use bytes::Bytes;
@@ -67,7 +67,7 @@
 }
 
 struct OpenStream {
-    slot: Place,
+    slot: SlotPermit,
     status: StatusCode,
     headers: HeaderMap,
     body: AnswerBody,
@@ -75,7 +75,7 @@
 }
 
 impl OpenStream {
-    fn new(slot: Place, exchange: Exchange, watch: RunWatch) -> Self {
+    fn new(slot: SlotPermit, exchange: Exchange, watch: RunWatch) -> Self {
         Self {
             watch,
             slot,
@@ -125,7 +125,7 @@
 
 struct ForwardedStream {
     source: EventSource,
-    slot: Option<Place>,
+    slot: Option<SlotPermit>,
     watch: Option<RunWatch>,
     body: AnswerBody,
     parser: EventParser,
@@ -204,7 +204,7 @@
 
     /// Acquires a slot, at a back end not tried yet if possible, waiting if one is likely to be
     /// free soon.
-    async fn acquire_or_wait(&mut self, wait: &mut SlotWait) -> Option<Place> {
+    async fn acquire_or_wait(&mut self, wait: &mut SlotWait) -> Option<SlotPermit> {
         let context = self.context();
         loop {
             context.suspension_guard.wait_settled().await;
@@ -240,7 +240,7 @@
         true
     }
 
-    async fn try_back_end(&mut self, slot: Place) -> Result<OpenResult, AttemptResult> {
+    async fn try_back_end(&mut self, slot: SlotPermit) -> Result<OpenResult, AttemptResult> {
         let started_at = BootInstant::now();
         let watch = self.quarantine_permit.watch_run(slot.shared_back_end());
         let result = match self.exchange(&slot).await {
@@ -281,7 +281,7 @@
         }
     }
 
-    async fn exchange(&self, slot: &Place) -> Result<Exchange, AttemptResult> {
+    async fn exchange(&self, slot: &SlotPermit) -> Result<Exchange, AttemptResult> {
         let context = &self.call.context;
         let names = context.dialect.headers();
         let mut outgoing: OutgoingRequest = self.call.outgoing.clone();
@@ -327,7 +327,7 @@
 
     fn into_events(
         self,
-        slot: Place,
+        slot: SlotPermit,
         body: AnswerBody,
         watch: RunWatch,
     ) -> BoxStream<'static, io::Result<Bytes>> {
--- a/crates/sloetrail-serving/src/leases/manager.rs
+++ b/crates/sloetrail-serving/src/leases/manager.rs
@@ -4,7 +4,7 @@
 use super::{LeaseResource, LeaseTask, Term};
 use crate::context::NodeContext;
 use crate::events::{self, Event};
-use crate::follow::{OwnedService, TableView, ViewReceiver};
+use crate::follow::{OwnedServiceGuard, TableView, ViewReceiver};
 use crate::rows;
 use crate::table::{Commit, Row, Transaction};
 use crate::telemetry;
@@ -37,7 +37,7 @@
     /// When the table last confirmed the lease.
     confirmed_at: watch::Sender<BootInstant>,
     /// Keeps the directory's poll interval at its minimum.
-    _owned: Option<OwnedService>,
+    _owned: Option<OwnedServiceGuard>,
 }
 
 pub(crate) struct LeaseManager {
@@ -172,7 +172,7 @@
     /// Returns the maximum time between two confirmations while the table answers.
     fn confirmation_gap(&self) -> Duration {
         let answers = self.context.table.typical_latency() * CONFIRMATION_ANSWER_TIMES;
-        self.context.lease_pace.round() + CONFIRMATION_MARGIN + answers
+        self.context.lease_pace.max_confirmation_interval() + CONFIRMATION_MARGIN + answers
     }
 
     fn observe_row(&mut self, row: Option<&Row>, at: BootInstant) {
--- a/crates/sloetrail-serving/src/owner/engines/tests.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests.rs
@@ -1,14 +1,14 @@
 mod assignment;
 mod cold;
 mod orders;
-mod pace;
 mod picking;
+mod slow_engines;
 
 use super::{EnginePool, EnginePreference};
 use crate::back_end::BackEnd;
 use crate::directory::Directory;
 use crate::owner::assignment::ModelShare;
-use crate::owner::engine::Demand;
+use crate::owner::engine::ModelRequirement;
 use crate::owner::rollout_plan::ModelTarget;
 use sloetrail_types::{EngineId, ServiceName, WeightVersion, ZoneName};
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
         zone: ZoneName::from("z"),
         slots: 8,
         draining: draining.contains(&number),
-        cold_left: Duration::ZERO,
+        cold_remaining: Duration::ZERO,
         versions: MODELS
             .iter()
             .map(|model| ((*model).to_owned(), WeightVersion(1)))
@@ -60,12 +60,12 @@
 
 fn pool(engines: usize) -> EnginePool {
     let mut pool = EnginePool::default();
-    pool.take_directory(&directory(engines, &[]), &ServiceName::from("models"));
+    pool.apply_directory(&directory(engines, &[]), &ServiceName::from("models"));
     pool.assign(&models());
     pool
 }
 
-/// How many engines that are not slow each model has.
+/// The number of engines that are not slow, by model.
 fn fast_engines(pool: &EnginePool) -> BTreeMap<&'static str, usize> {
     let count = |model: &str| {
         let assigned = pool.iter().filter(|(_, engine)| engine.is_assigned(model));
@@ -74,21 +74,20 @@
     MODELS.iter().map(|model| (*model, count(model))).collect()
 }
 
-fn set_pace(pool: &EnginePool, id: &EngineId, milliseconds: u64) {
-    let pace = &pool.get(id).expect("known").pace;
-    pace.reset();
+fn set_event_interval(pool: &EnginePool, id: &EngineId, interval_ms: u64) {
+    let interval = &pool.get(id).expect("known").event_interval;
+    interval.reset();
     for _ in 0..12 {
-        pace.note(Duration::from_millis(milliseconds));
+        interval.record(Duration::from_millis(interval_ms));
     }
 }
 
-/// No connection rests at any engine.
-fn unconnected(_: &BackEnd) -> bool {
+fn not_connected(_: &BackEnd) -> bool {
     false
 }
 
-fn any_item<'a>() -> Demand<'a> {
-    Demand {
+fn no_requirement<'a>() -> ModelRequirement<'a> {
+    ModelRequirement {
         model: None,
         oldest_version: WeightVersion(0),
     }
@@ -104,7 +103,7 @@
     }
 }
 
-fn of_model(pool: &EnginePool, model: &str) -> Vec<EngineId> {
+fn engines_of_model(pool: &EnginePool, model: &str) -> Vec<EngineId> {
     let assigned = pool.iter().filter(|(_, engine)| engine.is_assigned(model));
     assigned.map(|(id, _)| id.clone()).collect()
 }
--- a/crates/sloetrail-serving/src/owner/mod.rs
+++ b/crates/sloetrail-serving/src/owner/mod.rs
@@ -5,19 +5,20 @@
 //! [`service_owner::ServiceOwner`]. It loads open batches from the table, sends items to engines
 //! ([`run`]), has complete texts scored ([`reward_queue`], [`reward`]), commits results in
 //! groups ([`committer`]) and brings engines to the published weight versions ([`rollout_plan`],
-//! [`weights`]). Only the owner of unbound batches sends orders to engines; the other owners
+//! [`order_task`]). Only the owner of unbound batches sends orders to engines; the other owners
 //! report their slot demand to it ([`place_demand`]).
 
 mod assignment;
-mod batch_turns;
+mod batch_scheduler;
 mod committer;
 mod engine;
 mod engine_sends;
 mod engines;
 mod event;
+mod event_interval;
 mod item_timeline;
 mod loading;
-mod pace;
+mod order_task;
 mod place_demand;
 mod place_usage;
 mod publications;
@@ -27,7 +28,6 @@
 mod run;
 mod service_owner;
 mod sweeper;
-mod weights;
 
 use self::service_owner::ServiceOwner;
 use crate::context::NodeContext;
--- a/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
@@ -7,8 +7,8 @@
 
 use super::{ActiveRun, ServiceOwner};
 use crate::events::{self, Event};
-use crate::owner::engine::Demand;
-use crate::owner::engines::{EnginePool, FreeEngine, PACE_STEP};
+use crate::owner::engine::ModelRequirement;
+use crate::owner::engines::{EnginePool, FreeEngine, SIMILAR_INTERVAL_FACTOR};
 use sloetrail_batch::{Batch, BatchId, ItemIndex, LengthModel};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::EngineId;
@@ -42,8 +42,12 @@
 
     /// Expected time saved by continuing on `engine`. None if it is not clearly faster.
     fn gain_on(&self, engine: &FreeEngine) -> Option<Duration> {
-        let is_clearly_faster = self.event_interval_us as f64 > engine.pace as f64 * PACE_STEP;
-        let saved = self.event_interval_us.saturating_sub(engine.pace) as f64 * self.remaining;
+        let is_clearly_faster = self.event_interval_us as f64
+            > engine.event_interval_us as f64 * SIMILAR_INTERVAL_FACTOR;
+        let saved = self
+            .event_interval_us
+            .saturating_sub(engine.event_interval_us) as f64
+            * self.remaining;
         is_clearly_faster.then(|| Duration::from_micros(saved as u64))
     }
 }
@@ -53,14 +57,14 @@
     /// from the text so far.
     pub(super) fn move_from_slow_engines(&mut self, now: BootInstant) {
         for open in self.batches.values() {
-            let demand = Demand {
+            let demand = ModelRequirement {
                 model: open.batch.model.as_deref(),
                 oldest_version: open.batch.oldest_version,
             };
             if open.batch.waiting() > 0 {
                 continue;
             }
-            let mut slots = self.engines.fast_places(demand, now);
+            let mut slots = self.engines.free_fast_slots(demand, now);
             for run in open.runs.values() {
                 let engine = self.engines.get(&run.engine);
                 let is_slow = engine.is_some_and(|engine| engine.is_slow());
@@ -79,7 +83,7 @@
             return;
         }
         for (id, open) in &mut self.batches {
-            let demand = Demand {
+            let demand = ModelRequirement {
                 model: open.batch.model.as_deref(),
                 oldest_version: open.batch.oldest_version,
             };
@@ -114,7 +118,7 @@
                 run.move_target = Some(engine.id.clone());
                 run.cancel.cancel();
                 if let Some(engine) = self.engines.get_mut(&engine.id) {
-                    engine.keep_place(now);
+                    engine.reserve_slot(now);
                 }
                 target = free.next();
             }
@@ -123,11 +127,11 @@
 
     /// Continues an item on the engine where a slot was reserved for its move.
     pub(super) fn resume_at(&mut self, id: &BatchId, index: ItemIndex, engine: EngineId) {
-        self.engines.release_place(Some(&engine));
+        self.engines.release_slot(Some(&engine));
         let Some(open) = self.batches.get(id) else {
             return;
         };
-        let demand = Demand {
+        let demand = ModelRequirement {
             model: open.batch.model.as_deref(),
             oldest_version: open.batch.oldest_version,
         };
@@ -175,8 +179,8 @@
     if is_recent || run.cancel.is_cancelled() {
         return None;
     }
-    let event_interval_us = engines.get(&run.engine)?.pace.microseconds()?;
-    let made = run.progress.events();
+    let event_interval_us = engines.get(&run.engine)?.event_interval.microseconds()?;
+    let made = run.progress.event_count();
     let hint = batch.item(index).expected_length;
     let remaining = lengths.remaining_events(hint, made)?;
     Some(Candidate {
--- a/crates/sloetrail-serving/src/owner/service_owner/results.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/results.rs
@@ -22,7 +22,7 @@
         (outcome, transcript): (RunOutcome, Transcript),
         took: Duration,
     ) {
-        telemetry::run_ended(self.service.as_str(), outcome.word(), took);
+        telemetry::run_ended(self.service.as_str(), outcome.as_str(), took);
         self.update_engine_after_run(engine, outcome);
         let Some(open) = self.batches.get_mut(id) else {
             return;
@@ -39,10 +39,10 @@
                 .insert(index, run.checkpointed_events);
             move_target = run.move_target;
         }
-        if outcome == RunOutcome::Whole {
+        if outcome == RunOutcome::Completed {
             let hint = open.batch.item(index).expected_length;
             self.lengths.note(hint, transcript.len());
-            self.engines.release_place(move_target.as_ref());
+            self.engines.release_slot(move_target.as_ref());
             timeline.text_completed(BootInstant::now());
             open.batch.text_is_whole(index, transcript);
             self.enqueue_scoring(id, index);
@@ -52,7 +52,7 @@
             item: &open.batch.item(index).submitted.id,
             batch: id,
             back_end: engine.as_str(),
-            outcome: outcome.word(),
+            outcome: outcome.as_str(),
             events: transcript.len(),
             took_ms: took.as_millis() as u64,
         });
@@ -70,7 +70,7 @@
             open.checkpointed_events.remove(&index);
         }
         if failure == RunFailure::Failed && death.is_none() {
-            let request = CommitRequest::Failed {
+            let request = CommitRequest::RecordFailedRuns {
                 batch: id.clone(),
                 index,
                 failed_runs: open.batch.failed_runs(index),
@@ -80,7 +80,7 @@
         }
         match (death, move_target) {
             (Some(cause), move_target) => {
-                self.engines.release_place(move_target.as_ref());
+                self.engines.release_slot(move_target.as_ref());
                 self.list_as_dead(id, index, cause);
             }
             (None, Some(engine)) => self.resume_at(id, index, engine),
@@ -94,13 +94,15 @@
         };
         engine.running = engine.running.saturating_sub(1);
         match outcome {
-            RunOutcome::NotRun | RunOutcome::WrongVersion => engine.refused(),
+            RunOutcome::NotRun | RunOutcome::WrongVersion => engine.record_refusal(),
             RunOutcome::WrongInstance
             | RunOutcome::NotSent
             | RunOutcome::Lost
-            | RunOutcome::Silent => engine.lost(),
-            RunOutcome::Whole | RunOutcome::Failed | RunOutcome::Impossible => engine.finished(),
-            RunOutcome::HeldBack | RunOutcome::Cancelled => {}
+            | RunOutcome::Unresponsive => engine.record_loss(),
+            RunOutcome::Completed | RunOutcome::Failed | RunOutcome::Impossible => {
+                engine.record_completion()
+            }
+            RunOutcome::Withheld | RunOutcome::Cancelled => {}
         }
     }
 
@@ -137,7 +139,7 @@
     }
 
     fn list_result(&self, id: &BatchId, index: ItemIndex, result: ListedResult) {
-        let request = CommitRequest::List {
+        let request = CommitRequest::ListResult {
             batch: id.clone(),
             index,
             result,
@@ -185,7 +187,7 @@
         let groups = open.batch.groups();
         let timeline = open.timelines.get(&last).cloned().unwrap_or_default();
         let times = timeline.times(open.opened_at, now);
-        let event_interval_us = self.engines.fastest_pace().unwrap_or_default();
+        let event_interval_us = self.engines.min_event_interval_us().unwrap_or_default();
         let min_time =
             Duration::from_micros(event_interval_us.saturating_mul(groups.longest() as u64));
         let age = open.age_at_open + now.saturating_duration_since(open.opened_at);
--- a/crates/sloetrail-serving/src/relay/peers.rs
+++ b/crates/sloetrail-serving/src/relay/peers.rs
@@ -4,7 +4,7 @@
     CALLS_PATH, MESSAGE_VERSION, RelayScope, RelayedCall, TableAnswer, TableCall, decode, encode,
 };
 use crate::events::{self, Event};
-use crate::follow::{FollowPace, Pacing, ViewReceiver, follow};
+use crate::follow::{FleetScaledDuration, PollTiming, ViewReceiver, follow};
 use crate::http::{ConnectionPool, Exchange, FullBody, Reuse, SendFailure};
 use crate::rows;
 use crate::settings::ServingSettings;
@@ -166,9 +166,9 @@
 
 impl Peers {
     pub(super) fn follow(settings: &ServingSettings, table: &Arc<dyn Table>) -> Self {
-        let pace = FollowPace {
-            pause: Pacing::fixed(FOLLOW_DELAY),
-            wait: Pacing::fixed(FOLLOW_LONG_POLL_TIMEOUT),
+        let pace = PollTiming {
+            delay: FleetScaledDuration::fixed(FOLLOW_DELAY),
+            long_poll_timeout: FleetScaledDuration::fixed(FOLLOW_LONG_POLL_TIMEOUT),
         };
         Self {
             own_name: settings.node.clone(),
--- a/crates/sloetrail-serving/src/relay/peers/tests.rs
+++ b/crates/sloetrail-serving/src/relay/peers/tests.rs
@@ -83,11 +83,11 @@
 
 fn peers() -> Peers {
     let (_, entries) = watch::channel(Arc::new(TableView {
-        ranges: KeyRanges::whole(),
+        ranges: KeyRanges::all_keys(),
         rows: BTreeMap::new(),
         version: RowVersion(0),
         confirmed_at: None,
-        asked_at: None,
+        requested_at: None,
         interruptions: 0,
     }));
     Peers {
--- a/crates/sloetrail-serving/src/slot_waiter.rs
+++ b/crates/sloetrail-serving/src/slot_waiter.rs
@@ -1,6 +1,6 @@
 //! Waiting for a slot at a back end, in the order of the service's queue.
 
-use crate::service_pools::{Place, ServicePools};
+use crate::service_pools::{ServicePools, SlotPermit};
 use sloetrail_balance::{SlotQueue, SlotRequest, SlotTicket, WorkTenant};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::{AllowedRegions, EngineId, ServiceName, Timestamp};
@@ -127,7 +127,7 @@
 
     /// Acquires a slot at a back end that is not excluded, unless none is free or another
     /// request is ahead.
-    pub(crate) fn acquire(&mut self, excluded: &BTreeSet<EngineId>) -> Option<Place> {
+    pub(crate) fn acquire(&mut self, excluded: &BTreeSet<EngineId>) -> Option<SlotPermit> {
         let slot = self.pools.acquire(self, excluded)?;
         self.has_acquired = true;
         self.leave();
@@ -138,7 +138,7 @@
     pub(crate) async fn wait_until(&mut self, deadline: BootInstant) {
         let ticket = self
             .pools
-            .with_turns(&self.service, |queue| queue.join(self));
+            .with_slot_queue(&self.service, |queue| queue.join(self));
         self.ticket = Some(ticket);
         self.is_waiting = true;
         // The caller checks again after a timeout: slots can appear without an offer.
@@ -152,7 +152,7 @@
         };
         self.is_waiting = false;
         self.pools
-            .with_turns(&self.service, |queue| queue.leave(ticket));
+            .with_slot_queue(&self.service, |queue| queue.leave(ticket));
         self.pools.wake_first(&self.service);
     }
 }
@@ -161,7 +161,7 @@
     fn drop(&mut self) {
         self.leave();
         if !self.has_acquired {
-            self.pools.note_missed(self);
+            self.pools.record_unserved(self);
         }
     }
 }
--- a/crates/sloetrail-serving/src/slot_waiter/tests.rs
+++ b/crates/sloetrail-serving/src/slot_waiter/tests.rs
@@ -58,13 +58,13 @@
     let pools = pools();
     for _ in 0..REQUESTS {
         let high = Urgency::new(None, HIGH_PRIORITY);
-        pools.with_turns(&ServiceName::from("maps"), |queue| {
+        pools.with_slot_queue(&ServiceName::from("maps"), |queue| {
             queue.queue.record_outcome(high, true);
         });
         drop(waiter(&pools, LOW_PRIORITY));
     }
     let (high, low) = (waiter(&pools, HIGH_PRIORITY), waiter(&pools, LOW_PRIORITY));
-    let (offered, first) = pools.with_turns(&ServiceName::from("maps"), |queue| {
+    let (offered, first) = pools.with_slot_queue(&ServiceName::from("maps"), |queue| {
         let first = queue.join(&high);
         queue.join(&low);
         (queue.queue.offer(NOW, anywhere), first)
--- a/crates/sloetrail-serving/src/suspension_guard.rs
+++ b/crates/sloetrail-serving/src/suspension_guard.rs
@@ -5,7 +5,7 @@
 //! answer to a read that was sent after the process resumed, or until [`SETTLE_TIMEOUT`] expires.
 
 use crate::events::{self, Event};
-use crate::follow::TakenIn;
+use crate::follow::LastApplied;
 use sloetrail_clock::BootInstant;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -63,13 +63,13 @@
 pub(crate) struct SuspensionGuard {
     /// When the last applied answers were requested: for the directory, the operator's rows and
     /// the recorded crashes.
-    sources: Vec<TakenIn>,
+    sources: Vec<LastApplied>,
     state: Mutex<SuspensionDetector>,
 }
 
 impl SuspensionGuard {
     /// Starts a guard over the given sources. Its task ends when the guard is dropped.
-    pub(crate) fn start(sources: impl Into<Vec<TakenIn>>) -> Arc<Self> {
+    pub(crate) fn start(sources: impl Into<Vec<LastApplied>>) -> Arc<Self> {
         let guard = Arc::new(Self {
             sources: sources.into(),
             state: Mutex::new(SuspensionDetector::new(BootInstant::now())),
