--- a/crates/sloetrail-serving/src/http/connections/tests.rs
+++ b/crates/sloetrail-serving/src/http/connections/tests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Long enough for two time stamps to differ.
+/// Long enough for two timestamps to differ.
 const TICK: Duration = Duration::from_millis(3);
 
 /// Starts a peer that accepts connections and keeps them open.
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn a_later_response_protects_connections_opened_opened_after() {
+async fn a_later_response_protects_connections_opened_after_it() {
     let (pool, address) = (ConnectionPool::new(), start_peer().await);
     let opened_before = open_connection(address).await;
     let responding = open_connection(address).await;
--- a/crates/sloetrail-serving/src/http/exchange.rs
+++ b/crates/sloetrail-serving/src/http/exchange.rs
@@ -307,7 +307,8 @@
     }
     tokio::select! {
         sent = sending => sent,
-        () = peer.pool.wait_unresponsive(peer.address, received_at) => Err((None, SendFailure::ConnectionUnresponsive)),
+        () = peer.pool.wait_unresponsive(peer.address, received_at) =>
+            Err((None, SendFailure::ConnectionUnresponsive)),
     }
 }
 
--- a/crates/sloetrail-serving/src/retry_backoff.rs
+++ b/crates/sloetrail-serving/src/retry_backoff.rs
@@ -37,7 +37,8 @@
         }
         self.saw_outage |= !table.is_answering();
         tokio::select! {
-            () = tokio::time::sleep(self.next_delay) => self.next_delay = (self.next_delay * 2).min(MAX_DELAY),
+            () = tokio::time::sleep(self.next_delay) =>
+                self.next_delay = (self.next_delay * 2).min(MAX_DELAY),
             () = table.wait_for_recovery() => self.reset(),
         }
     }
--- a/crates/sloetrail-serving/src/suspension_guard.rs
+++ b/crates/sloetrail-serving/src/suspension_guard.rs
@@ -1,8 +1,8 @@
 //! Detects that the process was suspended, and delays the choice of back ends afterwards.
 //!
 //! After a suspension the cached rows may be stale: a back end may be leaving or its zone may be
-//! evacuated. No back end is chosen until the directory and the operator's rows include the
-//! answer to a read that was sent after the process resumed, or until [`SETTLE_TIMEOUT`] expires.
+//! evacuated. No back end is chosen until every source has applied the answer to a
+//! read that was sent after the process resumed, or until [`SETTLE_TIMEOUT`] expires.
 
 use crate::events::{self, Event};
 use crate::follow::LastApplied;
--- a/crates/sloetrail-serving/src/table.rs
+++ b/crates/sloetrail-serving/src/table.rs
@@ -267,17 +267,17 @@
 
 /// Reads all pages of a range.
 pub async fn scan_all(table: &dyn Table, mut range: KeyRange) -> Result<Page, ReadError> {
-    let mut complete = table.scan(&range).await?;
-    while complete.more {
-        let Some(last) = complete.rows.last() else {
-            return Ok(complete);
+    let mut collected = table.scan(&range).await?;
+    while collected.more {
+        let Some(last) = collected.rows.last() else {
+            return Ok(collected);
         };
         range.from = after_key(&last.address.key);
         let page = table.scan(&range).await?;
-        complete.rows.extend(page.rows);
-        complete.more = page.more;
+        collected.rows.extend(page.rows);
+        collected.more = page.more;
     }
-    Ok(complete)
+    Ok(collected)
 }
 
 /// Reads a row. None if it does not exist.
--- a/crates/sloetrail-serving/tests/silent_connections.rs
+++ b/crates/sloetrail-serving/tests/silent_connections.rs
@@ -122,10 +122,10 @@
         assert_eq!(status, 200);
         assert!(took < LATENCY_TARGET, "request {number} took {took:?}");
     }
-    let met = proxied.silent_uses();
+    let uses = proxied.silent_uses();
     assert!(
-        (1..=2).contains(&met),
-        "{met} uses of unresponsive connections to two addresses"
+        (1..=2).contains(&uses),
+        "{uses} uses of unresponsive connections to two addresses"
     );
 }
 
@@ -138,14 +138,14 @@
         assert_eq!(status, 200);
         assert!(took < LATENCY_TARGET, "{took:?}");
     }
-    let met = proxied.silent_uses();
+    let uses = proxied.silent_uses();
     for (status, took) in proxied.requests("/live/x", "second", CONNECTIONS).await {
         assert_eq!(status, 200);
         assert!(took < LATENCY_TARGET / 4, "{took:?}");
     }
     assert_eq!(
         proxied.silent_uses(),
-        met,
+        uses,
         "later requests must use new connections"
     );
 }
@@ -165,7 +165,7 @@
     }
 }
 
-/// A stream on an unresponsive connection is retried after the 1.5 s time-out for back ends.
+/// A stream on an unresponsive connection is retried after the 1.5 s timeout for back ends.
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_are_retried_over_a_new_connection() {
     let proxied = start_proxied(1, Duration::from_millis(5)).await;
@@ -175,7 +175,7 @@
     let answer = proxied.events("s1").await.expect("an answer");
     assert_eq!(answer.status, 200);
     assert!(watch.elapsed() < Duration::from_millis(2_000));
-    let met = proxied.silent_uses();
+    let uses = proxied.silent_uses();
     let watch = Stopwatch::start();
     let answer = proxied.events("s2").await.expect("an answer");
     assert_eq!(answer.status, 200);
@@ -183,7 +183,7 @@
     assert!(took < LATENCY_TARGET, "{took:?}");
     assert_eq!(
         proxied.silent_uses(),
-        met,
+        uses,
         "the next stream must use the new connection"
     );
 }
@@ -208,7 +208,7 @@
     assert_eq!(proxied.runs_of("s1"), 1);
 }
 
-/// Runs on unresponsive connections wait for the 1.5 s engine time-out only once. The next batch
+/// Runs on unresponsive connections wait for the 1.5 s engine timeout only once. The next batch
 /// is not delayed.
 #[tokio::test(flavor = "multi_thread")]
 async fn only_the_first_batch_is_delayed_by_unresponsive_connections() {
@@ -223,8 +223,11 @@
     };
     let usual = submit("before").await;
     proxied.silence_all();
-    let met = submit("meets-it").await;
-    assert!(met < usual + Duration::from_millis(2_000), "took {met:?}");
+    let first = submit("meets-it").await;
+    assert!(
+        first < usual + Duration::from_millis(2_000),
+        "took {first:?}"
+    );
     let after = submit("after").await;
     assert!(
         after < usual + Duration::from_millis(500),
@@ -238,7 +241,7 @@
 async fn runs_are_not_repeated_in_a_zone_evacuated_meanwhile() {
     const ITEMS: usize = 6;
     const SENT: Duration = Duration::from_millis(300);
-    /// Longer than the 1.5 s engine time-out.
+    /// Longer than the 1.5 s engine timeout.
     const UNTIL_RETRY: Duration = Duration::from_millis(2_200);
     let proxied = start_proxied(1, Duration::from_millis(5)).await;
     let cluster = &proxied.cluster;
@@ -260,8 +263,8 @@
     cluster.wait_results(0, "meets-it", ITEMS).await;
 }
 
-/// Runs whose connections become unresponsive midway continue after the 1.5 s time-out over new
-/// connections, without a second time-out.
+/// Runs whose connections become unresponsive midway continue after the 1.5 s timeout over new
+/// connections, without a second timeout.
 #[tokio::test(flavor = "multi_thread")]
 async fn runs_that_stall_midway_evict_idle_connections() {
     const ITEMS: usize = 4;
@@ -286,7 +289,7 @@
     // Generating the text takes 0.9 s.
     assert!(
         took < Duration::from_millis(3_200),
-        "took {took:?}, more than one time-out"
+        "took {took:?}, more than one timeout"
     );
     let watch = Stopwatch::start();
     submit("after", ITEMS * 2, 2).await;
