--- a/crates/sloetrail-serving/src/follow.rs
+++ b/crates/sloetrail-serving/src/follow.rs
@@ -8,7 +8,7 @@
 
 use crate::directory_index::KeyRanges;
 use crate::events::{self, Event};
-use crate::retry_pause::RetryPause;
+use crate::retry_backoff::RetryBackoff;
 use crate::table::{Change, Changes, KeyRange, ReadError, Row, RowAddress, Table, scan_all};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::RowVersion;
@@ -133,7 +133,7 @@
     async fn run(mut self) {
         let mut subset = self.subset.take();
         let mut must_read_all = true;
-        let mut retry = RetryPause::new();
+        let mut retry = RetryBackoff::new();
         while !self.sender.is_closed() {
             let step = match must_read_all {
                 true => self.read_all(subset.as_mut()).await,
--- a/crates/sloetrail-serving/src/follow/tests.rs
+++ b/crates/sloetrail-serving/src/follow/tests.rs
@@ -35,7 +35,7 @@
         }
         if self.is_unresponsive {
             // Ends when the table becomes available or the call times out.
-            let _ = tokio::time::timeout(CALL_TIMEOUT, self.returned()).await;
+            let _ = tokio::time::timeout(CALL_TIMEOUT, self.wait_for_recovery()).await;
         }
         Err(ReadError::Unavailable)
     }
@@ -59,7 +59,7 @@
         *self.is_available.borrow()
     }
 
-    async fn returned(&self) {
+    async fn wait_for_recovery(&self) {
         let mut is_available = self.is_available.subscribe();
         // The sender lives as long as this table.
         let _ = is_available.changed().await;
--- a/crates/sloetrail-serving/src/http/exchange.rs
+++ b/crates/sloetrail-serving/src/http/exchange.rs
@@ -1,7 +1,7 @@
-//! One request to a back end and its answer.
+//! An HTTP request to a back end and its response.
 
-use super::WholeBody;
-use super::connections::{self, Connection, ConnectionPool, Sender, Silence};
+use super::FullBody;
+use super::connections::{self, Connection, ConnectionPool, Sender, UnresponsiveSign};
 use super::reuse::Reuse;
 use bytes::{Bytes, BytesMut};
 use http::header::{CONNECTION, CONTENT_LENGTH};
@@ -13,71 +13,63 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A request that is given up sooner than this says nothing of its connection: callers leave
-/// at any moment, and answers of tens of milliseconds are ordinary.
-const GIVEN_UP_LEAST: Duration = Duration::from_millis(50);
-/// An answer that is given up says something of its connection if nothing has come for this
-/// long: the pieces of a series follow each other within tens of milliseconds, and within a
-/// second while an engine loads weights.
-const WITHIN_ANSWER_LEAST: Duration = Duration::from_millis(1_000);
+/// A request cancelled sooner than this is no sign of an unresponsive connection.
+const MIN_HEAD_WAIT: Duration = Duration::from_millis(50);
+/// A response dropped after this long without data marks its connection as unresponsive. Events
+/// of a stream are up to a second apart while an engine loads weights.
+const MIN_BODY_STALL: Duration = Duration::from_millis(1_000);
 
-/// The most of an answer that is read only to keep its connection: refusals are a line.
-const DISCARD_BYTES: usize = 4 * 1024;
-/// How long this may take: the body of a refusal comes with its head.
-const DISCARD_TIME: Duration = Duration::from_millis(100);
+/// Longest response body that is read only to keep its connection reusable.
+const MAX_DISCARD_BYTES: usize = 4 * 1024;
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Why there is no answer.
+/// Why a request has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendFailure {
-    /// The request did not leave this node.
+    /// No connection could be opened, or it closed before the request was sent.
     NotSent,
-    /// The request did not leave this node, since it may not be sent any more.
-    HeldBack,
-    /// The connection broke, or what came back was no answer.
+    /// The request was not sent because `may_send` no longer allowed it.
+    Withheld,
+    /// The connection broke or the response was malformed.
     Lost,
-    /// The deadline came first; the connection is closed.
-    OutOfTime,
-    /// No head came in time over a connection that had been kept, or others showed that it
-    /// must be silent. It is closed, and so are those that rested with it: a further try goes
-    /// over a new one.
-    KeptSilent,
-    /// The answer is larger than allowed.
+    /// The deadline expired. The connection is closed.
+    TimedOut,
+    /// No response head arrived in time over a reused connection, or other connections showed
+    /// that it must be unresponsive. It is closed together with the connections that were idle
+    /// at the same time, so that a retry opens a new one.
+    ConnectionUnresponsive,
+    /// The response body exceeds the size limit.
     TooLarge,
 }
 
-/// An answer that was read to its end.
+/// A response whose body was read to its end.
 #[derive(Clone, Debug)]
-pub struct WholeAnswer {
-    /// Its status.
+pub struct CompleteAnswer {
     pub status: StatusCode,
-    /// Its headers.
     pub headers: HeaderMap,
-    /// Its body.
     pub body: Bytes,
 }
 
-/// An answer whose head has come.
+/// A response whose head has arrived.
 pub struct Exchange {
-    /// Its status.
     pub status: StatusCode,
-    /// Its headers.
     pub headers: HeaderMap,
     body: AnswerBody,
 }
 
-/// The body of an answer. Dropped before its end, it closes the connection.
+/// A response body. Dropping it before its end closes the connection.
 pub struct AnswerBody {
     incoming: Incoming,
     peer: Peer,
-    /// When something of the answer came last.
-    heard_at: BootInstant,
+    /// When the last part of the response arrived.
+    received_at: BootInstant,
     has_ended: bool,
-    /// The connection, if it may be kept after the answer.
+    /// The connection, if it may be reused after the response.
     connection: Option<Connection>,
-    idle: Option<Duration>,
+    keep_alive: Option<Duration>,
 }
 
-/// Where a request goes, and the connections that are kept to it.
+/// The address of a request and the pool that holds the connections to it.
 #[derive(Clone)]
 struct Peer {
     pool: Arc<ConnectionPool>,
@@ -85,48 +77,46 @@
 }
 
 impl Exchange {
-    /// Sends a request, on a kept connection if there is one that `reuse` allows.
-    /// A kept connection that turns out to be closed before the request left is
-    /// replaced by a new one.
+    /// Sends a request, over an idle connection if `reuse` permits one. If that connection
+    /// turns out to be closed before the request is sent, a new one replaces it.
     pub async fn send(
         pool: &Arc<ConnectionPool>,
         address: SocketAddr,
-        request: Request<WholeBody>,
+        request: Request<FullBody>,
         reuse: Reuse,
         deadline: BootInstant,
     ) -> Result<Self, SendFailure> {
         Self::send_if(pool, address, request, reuse, deadline, &|| true).await
     }
 
-    /// The same for a request that may have to be held back. `may_leave` is asked each time
-    /// that there is a connection and the request is about to leave: time may have passed
-    /// since it was decided to send it.
+    /// Sends a request only if `may_send` still allows it. `may_send` is called once a
+    /// connection is open, immediately before sending, because connecting takes time.
     pub async fn send_if(
         pool: &Arc<ConnectionPool>,
         address: SocketAddr,
-        mut request: Request<WholeBody>,
+        mut request: Request<FullBody>,
         reuse: Reuse,
         deadline: BootInstant,
-        may_leave: &(dyn Fn() -> bool + Sync),
+        may_send: &(dyn Fn() -> bool + Sync),
     ) -> Result<Self, SendFailure> {
         let peer = Peer {
             pool: Arc::clone(pool),
             address,
         };
-        if let Some(mut kept) = pool.take(address, reuse) {
-            if !may_leave() {
-                return Err(SendFailure::HeldBack);
+        if let Some(mut idle) = pool.take(address, reuse) {
+            if !may_send() {
+                return Err(SendFailure::Withheld);
             }
-            match send_on_kept(&peer, &mut kept, request, reuse, deadline).await {
-                Ok(response) => return Ok(Self::new(peer, kept, response)),
+            match send_on_idle(&peer, &mut idle, request, reuse, deadline).await {
+                Ok(response) => return Ok(Self::new(peer, idle, response)),
                 Err((Some(unsent), _)) => request = unsent,
                 Err((None, failure)) => return Err(failure),
             }
         }
         let connected = connections::connect(address, deadline).await;
         let mut connection = connected.ok_or(SendFailure::NotSent)?;
-        if !may_leave() {
-            return Err(SendFailure::HeldBack);
+        if !may_send() {
+            return Err(SendFailure::Withheld);
         }
         match send_on(&peer, &mut connection, request, reuse, deadline).await {
             Ok(response) => Ok(Self::new(peer, connection, response)),
@@ -139,10 +129,10 @@
         let body = AnswerBody {
             incoming,
             peer,
-            heard_at: BootInstant::now(),
+            received_at: BootInstant::now(),
             has_ended: false,
-            connection: may_be_kept(&head.headers).then_some(connection),
-            idle: keep_alive_time(&head.headers),
+            connection: is_reusable(&head.headers).then_some(connection),
+            keep_alive: keep_alive_time(&head.headers),
         };
         Self {
             status: head.status,
@@ -151,51 +141,51 @@
         }
     }
 
-    /// The body, to be read piece by piece.
     pub fn into_body(self) -> AnswerBody {
         self.body
     }
 
-    /// Reads the rest of an answer that nobody needs, so that its connection is kept. A new
-    /// one would cost the back end more.
+    /// Reads and ignores the rest of the response in the background, so that its connection
+    /// can be reused.
     pub fn discard(self) {
-        let until = BootInstant::now() + DISCARD_TIME;
+        let until = BootInstant::now() + DISCARD_TIMEOUT;
         tokio::spawn(async move {
-            // One that is long or slow is closed.
-            let _ = self.whole(DISCARD_BYTES, until).await;
+            // A long or slow body closes the connection instead.
+            let _ = self.read_to_end(MAX_DISCARD_BYTES, until).await;
         });
     }
 
-    /// Reads the body to its end.
-    pub async fn whole(
+    /// Reads the body to its end, up to `limit` bytes.
+    pub async fn read_to_end(
         self,
         limit: usize,
         deadline: BootInstant,
-    ) -> Result<WholeAnswer, SendFailure> {
+    ) -> Result<CompleteAnswer, SendFailure> {
         self.collect(limit, || deadline).await
     }
 
-    /// Reads the body to its end for as long as pieces of it come: a large one may take its
-    /// time on a slow link, but no longer than this from one piece to the next.
-    pub async fn whole_while_it_comes(
+    /// Reads the body to its end, up to `limit` bytes. The timeout applies to the time between
+    /// two pieces of data, so that a large body may take long on a slow link.
+    pub async fn read_to_end_with_idle_timeout(
         self,
         limit: usize,
-        patience: Duration,
-    ) -> Result<WholeAnswer, SendFailure> {
-        self.collect(limit, || BootInstant::now() + patience).await
+        idle_timeout: Duration,
+    ) -> Result<CompleteAnswer, SendFailure> {
+        self.collect(limit, || BootInstant::now() + idle_timeout)
+            .await
     }
 
-    /// Reads the body to its end; `due` tells by when the next piece must have come.
+    /// Reads the body to its end. `piece_deadline` returns the deadline for the next piece.
     async fn collect(
         self,
         limit: usize,
-        due: impl Fn() -> BootInstant,
-    ) -> Result<WholeAnswer, SendFailure> {
+        piece_deadline: impl Fn() -> BootInstant,
+    ) -> Result<CompleteAnswer, SendFailure> {
         let mut collected = BytesMut::new();
         let mut body = self.body;
         loop {
-            let piece = sloetrail_clock::timeout_at(due(), body.next_piece()).await;
-            match piece.map_err(|_| SendFailure::OutOfTime)?? {
+            let piece = sloetrail_clock::timeout_at(piece_deadline(), body.next_data()).await;
+            match piece.map_err(|_| SendFailure::TimedOut)?? {
                 Some(piece) if collected.len() + piece.len() > limit => {
                     return Err(SendFailure::TooLarge);
                 }
@@ -203,7 +193,7 @@
                 None => break,
             }
         }
-        Ok(WholeAnswer {
+        Ok(CompleteAnswer {
             status: self.status,
             headers: self.headers,
             body: collected.freeze(),
@@ -212,11 +202,11 @@
 }
 
 impl AnswerBody {
-    /// The next bytes, or nothing at the proper end.
-    pub async fn next_piece(&mut self) -> Result<Option<Bytes>, SendFailure> {
+    /// Returns the next data of the body. None at its regular end.
+    pub async fn next_data(&mut self) -> Result<Option<Bytes>, SendFailure> {
         loop {
             let frame = self.incoming.frame().await;
-            self.heard_at = BootInstant::now();
+            self.received_at = BootInstant::now();
             match frame {
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
@@ -229,99 +219,102 @@
                 }
                 None => {
                     self.has_ended = true;
-                    self.keep_connection();
+                    self.return_connection();
                     return Ok(None);
                 }
             }
         }
     }
 
-    fn keep_connection(&mut self) {
+    fn return_connection(&mut self) {
         if let Some(connection) = self.connection.take() {
             let Peer { pool, address } = &self.peer;
-            pool.keep(*address, connection, self.idle);
+            pool.keep(*address, connection, self.keep_alive);
         }
     }
 }
 
 impl Drop for AnswerBody {
     fn drop(&mut self) {
-        if !self.has_ended && self.heard_at.elapsed() >= WITHIN_ANSWER_LEAST {
-            self.peer.condemn(self.heard_at, Silence::WithinAnswer);
+        if !self.has_ended && self.received_at.elapsed() >= MIN_BODY_STALL {
+            self.peer
+                .evict(self.received_at, UnresponsiveSign::StalledBody);
         }
     }
 }
 
 impl Peer {
-    fn condemn(&self, since: BootInstant, silence: Silence) {
-        self.pool.condemn(self.address, since, silence);
+    fn evict(&self, since: BootInstant, sign: UnresponsiveSign) {
+        self.pool.evict(self.address, since, sign);
     }
 }
 
-/// Watches over a request on a kept connection until something comes. Dropped before, it
-/// was given up.
-struct KeptWatch<'a> {
+/// Guards a request on a reused connection until its response head arrives. Dropping it before
+/// then means that the request was cancelled.
+struct HeadWatch<'a> {
     peer: &'a Peer,
     sent_at: BootInstant,
-    is_over: bool,
+    is_done: bool,
 }
 
-impl Drop for KeptWatch<'_> {
+impl Drop for HeadWatch<'_> {
     fn drop(&mut self) {
-        if !self.is_over && self.sent_at.elapsed() >= GIVEN_UP_LEAST {
-            self.peer.condemn(self.sent_at, Silence::GivenUp);
+        if !self.is_done && self.sent_at.elapsed() >= MIN_HEAD_WAIT {
+            self.peer
+                .evict(self.sent_at, UnresponsiveSign::AbandonedBeforeHead);
         }
     }
 }
 
-type Unsent = Option<Request<WholeBody>>;
+type Unsent = Option<Request<FullBody>>;
 
-async fn send_on_kept(
+async fn send_on_idle(
     peer: &Peer,
-    kept: &mut Connection,
-    request: Request<WholeBody>,
+    idle: &mut Connection,
+    request: Request<FullBody>,
     reuse: Reuse,
     deadline: BootInstant,
 ) -> Result<Response<Incoming>, (Unsent, SendFailure)> {
-    let mut watch = KeptWatch {
+    let mut watch = HeadWatch {
         peer,
         sent_at: BootInstant::now(),
-        is_over: false,
+        is_done: false,
     };
-    let head_due = reuse.head_due(deadline);
-    let sent = send_on(peer, kept, request, reuse, head_due).await;
-    watch.is_over = true;
-    let has_waited = watch.sent_at.elapsed() >= GIVEN_UP_LEAST;
-    if has_waited && matches!(sent, Err((None, SendFailure::OutOfTime))) {
-        peer.condemn(watch.sent_at, Silence::NoHead);
-        return Err((None, SendFailure::KeptSilent));
+    let head_deadline = reuse.head_deadline(deadline);
+    let sent = send_on(peer, idle, request, reuse, head_deadline).await;
+    watch.is_done = true;
+    let has_waited_long_enough = watch.sent_at.elapsed() >= MIN_HEAD_WAIT;
+    if has_waited_long_enough && matches!(sent, Err((None, SendFailure::TimedOut))) {
+        peer.evict(watch.sent_at, UnresponsiveSign::NoHeadInTime);
+        return Err((None, SendFailure::ConnectionUnresponsive));
     }
     sent
 }
 
-/// Sends a request, and gives it up early if that is allowed and others show that the
-/// connection must be silent.
+/// Sends a request. With [`Reuse::UntilUnresponsive`], fails early once other connections show
+/// that this one must be unresponsive.
 async fn send_on(
     peer: &Peer,
     connection: &mut Connection,
-    request: Request<WholeBody>,
+    request: Request<FullBody>,
     reuse: Reuse,
     deadline: BootInstant,
 ) -> Result<Response<Incoming>, (Unsent, SendFailure)> {
-    let heard_at = connection.heard_at;
+    let received_at = connection.received_at;
     let sending = wait_for_head(&mut connection.sender, request, deadline);
-    if reuse != Reuse::UntilFoundSilent {
+    if reuse != Reuse::UntilUnresponsive {
         return sending.await;
     }
     tokio::select! {
         sent = sending => sent,
-        () = peer.pool.found_silent(peer.address, heard_at) => Err((None, SendFailure::KeptSilent)),
+        () = peer.pool.wait_unresponsive(peer.address, received_at) =>
+            Err((None, SendFailure::ConnectionUnresponsive)),
     }
 }
 
 async fn wait_for_head(
     sender: &mut Sender,
-    request: Request<WholeBody>,
+    request: Request<FullBody>,
     deadline: BootInstant,
 ) -> Result<Response<Incoming>, (Unsent, SendFailure)> {
     let sending = sender.try_send_request(request);
@@ -331,12 +324,13 @@
             Some(request) => Err((Some(request), SendFailure::NotSent)),
             None => Err((None, SendFailure::Lost)),
         },
-        Err(_) => Err((None, SendFailure::OutOfTime)),
+        Err(_) => Err((None, SendFailure::TimedOut)),
     }
 }
 
-/// An answer without a length ends with its connection; one that says so does too.
-fn may_be_kept(headers: &HeaderMap) -> bool {
+/// Returns whether the connection can be reused: the response neither asks to close it nor lacks
+/// a body length.
+fn is_reusable(headers: &HeaderMap) -> bool {
     let closes = headers
         .get(CONNECTION)
         .and_then(|value| value.to_str().ok())
--- a/crates/sloetrail-serving/src/http/mod.rs
+++ b/crates/sloetrail-serving/src/http/mod.rs
@@ -1,18 +1,18 @@
-//! HTTP/1.1 towards callers and back ends.
+//! HTTP/1.1 server and client.
 
 mod caller_stream;
 mod connections;
 mod exchange;
 mod listener;
 mod reuse;
-mod silence;
 mod socket;
+mod unresponsive;
 
 pub use connections::ConnectionPool;
-pub(crate) use connections::{Listening, look_at};
-pub use exchange::{AnswerBody, Exchange, SendFailure, WholeAnswer};
+pub(crate) use connections::{Listening, probe_listener};
+pub use exchange::{AnswerBody, CompleteAnswer, Exchange, SendFailure};
 pub use listener::{ConnectionTracker, ListenerSettings, serve_connections};
 pub use reuse::Reuse;
 
-/// The body of a request or answer that is held whole.
-pub type WholeBody = http_body_util::Full<bytes::Bytes>;
+/// A request or response body held completely in memory.
+pub type FullBody = http_body_util::Full<bytes::Bytes>;
--- a/crates/sloetrail-serving/src/node.rs
+++ b/crates/sloetrail-serving/src/node.rs
@@ -14,7 +14,6 @@
 use crate::http::{ConnectionTracker, ListenerSettings, serve_connections};
 use crate::leases::watch_leased_sets;
 use crate::operator::watch_operator;
-use crate::pause_guard::PauseGuard;
 use crate::quarantine::{self, Quarantine};
 use crate::relay::{self, peers::Peers};
 use crate::rows;
@@ -22,6 +21,7 @@
 use crate::settings::ServingSettings;
 use crate::subset_demand::{SubsetDemand, watch_subset_coverage};
 use crate::supervisor::supervise;
+use crate::suspension_guard::SuspensionGuard;
 use crate::table::Table;
 use crate::telemetry::{self, Beliefs};
 use crate::usage::{NodeUsage, UsageRecipient, UsageWork};
@@ -271,7 +271,7 @@
         operator_taken_in.clone(),
         crashes_taken_in,
     ];
-    let pause_guard = PauseGuard::start(beliefs);
+    let suspension_guard = SuspensionGuard::start(beliefs);
     let zone_work = ZoneWork::start(in_force.clone());
     let pools = ServicePools::new(
         &settings,
@@ -294,7 +294,7 @@
     let connections = BackEndConnections::new(
         directory.clone(),
         in_force.clone(),
-        Arc::clone(&pause_guard),
+        Arc::clone(&suspension_guard),
     );
     let has_keys = dialect.headers().idempotency_key.is_some();
     let claims = has_keys.then(|| Claims::new(&settings, Arc::clone(&table)));
@@ -318,7 +318,7 @@
         lease_pace,
         fleet,
         zone_work,
-        pause_guard,
+        suspension_guard,
         usage,
         engine_supply,
     }
--- a/crates/sloetrail-serving/src/owner/committer.rs
+++ b/crates/sloetrail-serving/src/owner/committer.rs
@@ -8,7 +8,7 @@
 use super::event::{Committed, OwnerEvent};
 use crate::context::NodeContext;
 use crate::leases::Term;
-use crate::retry_pause::RetryPause;
+use crate::retry_backoff::RetryBackoff;
 use crate::rows;
 use crate::table::{Commit, CommitError, RowAddress, TableLimits, Transaction};
 use bytes::Bytes;
@@ -224,7 +224,7 @@
     term: &Term,
     transaction: &Transaction,
 ) -> bool {
-    let mut retry = RetryPause::new();
+    let mut retry = RetryBackoff::new();
     loop {
         let commit = tokio::select! {
             commit = context.table.commit(transaction) => commit,
--- a/crates/sloetrail-serving/src/owner/engine.rs
+++ b/crates/sloetrail-serving/src/owner/engine.rs
@@ -269,12 +269,12 @@
 
     /// Records that the engine was unreachable, broke off an answer or became unresponsive.
     pub(super) fn record_loss(&mut self) {
-        self.losses.note_loss(BootInstant::now());
+        self.losses.record_loss(BootInstant::now());
     }
 
     /// Records a run that the engine answered, successfully or not.
     pub(super) fn record_completion(&mut self) {
-        self.losses.note_success();
+        self.losses.record_success();
         self.last_finished_at = Some(BootInstant::now());
         self.idle_connections += 1;
     }
--- a/crates/sloetrail-serving/src/service_pools.rs
+++ b/crates/sloetrail-serving/src/service_pools.rs
@@ -159,7 +159,7 @@
                 !back_end.draining && !state.in_force.evacuations.covers(&back_end.zone);
             let is_allowed = state.topology.allows(regions, &back_end.zone);
             let loss_backoff = state.loss_backoffs.get(&back_end.id);
-            let backoff = loss_backoff.and_then(|loss_backoff| loss_backoff.left(instant));
+            let backoff = loss_backoff.and_then(|loss_backoff| loss_backoff.remaining(instant));
             (takes_work && is_allowed).then_some(backoff.unwrap_or_default())
         });
         let shortest = backoffs.min().unwrap_or_default();
--- a/crates/sloetrail-serving/src/service_pools/state.rs
+++ b/crates/sloetrail-serving/src/service_pools/state.rs
@@ -173,9 +173,9 @@
     pub(super) fn record_outcome(&mut self, id: &EngineId, outcome: AttemptOutcome) {
         let backoff = self.loss_backoffs.entry(id.clone()).or_default();
         match outcome {
-            AttemptOutcome::Lost => backoff.note_loss(BootInstant::now()),
-            AttemptOutcome::Refused => backoff.note_refusal(BootInstant::now()),
-            AttemptOutcome::Answered => backoff.note_success(),
+            AttemptOutcome::Lost => backoff.record_loss(BootInstant::now()),
+            AttemptOutcome::Refused => backoff.record_refusal(BootInstant::now()),
+            AttemptOutcome::Answered => backoff.record_success(),
             AttemptOutcome::Failed | AttemptOutcome::Abandoned => {}
         }
     }
