--- a/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
@@ -103,7 +103,7 @@
         engine_id: EngineId,
         priority: u8,
     ) -> bool {
-        let Some(passage) = self.quarantine_permit(id, index) else {
+        let Some(quarantine_permit) = self.quarantine_permit(id, index) else {
             return false;
         };
         let Some(open) = self.batches.get_mut(id) else {
@@ -141,7 +141,7 @@
             priority,
             sends: engine.sends(),
             resend_bound: engine.resend_bound(),
-            quarantine_permit: passage,
+            quarantine_permit,
             event_interval: Arc::clone(&engine.event_interval),
             progress: Arc::clone(&run.progress),
             cancel: run.cancel.clone(),
