--- a/crates/sloetrail-quarantine/src/judgement.rs
+++ b/crates/sloetrail-quarantine/src/assessment.rs
@@ -17,28 +17,28 @@
 /// lost. With three, 1,000 drawn fleets of which a hundredth crashes each second for no
 /// request hold none of 300,000 innocent requests; of which a tenth does, a few, each without
 /// an attempt left (tests `fleets`).
-pub const CRASHES_TO_HOLD: usize = 3;
+pub const MIN_CRASHES_TO_QUARANTINE: usize = 3;
 
 /// How long after the last crash a request may be tried whose part in it is not clear: back
 /// ends are back after seconds, and what was under way there is over.
-pub const TRIAL_PAUSE: Duration = Duration::from_secs(2);
+pub const TRIAL_DELAY: Duration = Duration::from_secs(2);
 
 /// What is known of a request that is kept from back ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct QuarantinedRequest {
     /// Back ends that crashed under it.
     pub crashes: usize,
     /// The versions of the software that crashed, as far as they are known.
     pub software: BTreeSet<String>,
     /// When the last of them crashed, in milliseconds of the table's clock.
-    pub last_ms: u64,
+    pub last_crash_ms: u64,
     /// True if no other request explains the crashes as well.
-    pub is_clear: bool,
+    pub is_sole_suspect: bool,
 }
 
 /// How a request stands at a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum RequestStatus {
     /// Nothing speaks against it.
     Free,
     /// So many back ends have crashed under it, but too few, or another request explains them.
@@ -47,43 +47,43 @@
         crashes: usize,
     },
     /// It is kept from back ends.
-    Held(Held),
+    Quarantined(QuarantinedRequest),
 }
 
 /// How the requests stand under which back ends crashed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Judgement {
-    standings: BTreeMap<ServiceName, BTreeMap<RequestDigest, Standing>>,
+pub struct CrashAssessment {
+    statuses: BTreeMap<ServiceName, BTreeMap<RequestDigest, RequestStatus>>,
 }
 
-impl Judgement {
+impl CrashAssessment {
     /// True if nothing speaks against any request at a service: its digest need not be known.
     pub fn is_empty(&self, service: &ServiceName) -> bool {
-        !self.standings.contains_key(service)
+        !self.statuses.contains_key(service)
     }
 
     /// How a request stands.
-    pub fn standing(&self, service: &ServiceName, digest: RequestDigest) -> &Standing {
-        let of_service = self.standings.get(service);
+    pub fn status(&self, service: &ServiceName, digest: RequestDigest) -> &RequestStatus {
+        let of_service = self.statuses.get(service);
         let known = of_service.and_then(|known| known.get(&digest));
-        known.unwrap_or(&Standing::Free)
+        known.unwrap_or(&RequestStatus::Free)
     }
 
     /// The requests that are kept from back ends.
-    pub fn held(&self) -> impl Iterator<Item = (Suspect, &Held)> {
-        let services = self.standings.iter();
+    pub fn quarantined(&self) -> impl Iterator<Item = (Suspect, &QuarantinedRequest)> {
+        let services = self.statuses.iter();
         let all = services.flat_map(|(service, known)| {
-            known.iter().map(move |(digest, standing)| {
+            known.iter().map(move |(digest, status)| {
                 let suspect = Suspect {
                     service: service.clone(),
                     digest: *digest,
                 };
-                (suspect, standing)
+                (suspect, status)
             })
         });
-        all.filter_map(|(suspect, standing)| match standing {
-            Standing::Held(held) => Some((suspect, held)),
-            Standing::Free | Standing::Suspected { .. } => None,
+        all.filter_map(|(suspect, status)| match status {
+            RequestStatus::Quarantined(quarantined) => Some((suspect, quarantined)),
+            RequestStatus::Free | RequestStatus::Suspected { .. } => None,
         })
     }
 }
@@ -100,10 +100,10 @@
 
 /// Judges requests by reports and clearances. Reports of one crash by several nodes count as
 /// one crash.
-pub fn judge<'a>(
+pub fn assess<'a>(
     reports: impl IntoIterator<Item = &'a CrashReport>,
     clearances: impl IntoIterator<Item = &'a Clearance>,
-) -> Judgement {
+) -> CrashAssessment {
     let cleared = last_clearances(clearances);
     let mut services: BTreeMap<ServiceName, Crashes> = BTreeMap::new();
     for report in reports {
@@ -119,12 +119,12 @@
         let suspects = report.requests.iter().filter(|digest| !is_cleared(digest));
         crash.requests.extend(suspects);
     }
-    let standings = services.into_iter().map(|(service, crashes)| {
-        let standings = standings(crashes);
-        (service, standings)
+    let statuses = services.into_iter().map(|(service, crashes)| {
+        let statuses = statuses(crashes);
+        (service, statuses)
     });
-    Judgement {
-        standings: standings.filter(|(_, known)| !known.is_empty()).collect(),
+    CrashAssessment {
+        statuses: statuses.filter(|(_, known)| !known.is_empty()).collect(),
     }
 }
 
@@ -142,21 +142,21 @@
 
 /// Finds the requests that explain the crashes of a service, those with the most crashes
 /// first. What they explain counts for no other request.
-fn standings(mut crashes: Crashes) -> BTreeMap<RequestDigest, Standing> {
+fn statuses(mut crashes: Crashes) -> BTreeMap<RequestDigest, RequestStatus> {
     let suspected = counts(&crashes);
     let suspected = suspected.into_iter();
-    let mut standings: BTreeMap<RequestDigest, Standing> = suspected
-        .map(|(digest, crashes)| (digest, Standing::Suspected { crashes }))
+    let mut statuses: BTreeMap<RequestDigest, RequestStatus> = suspected
+        .map(|(digest, crashes)| (digest, RequestStatus::Suspected { crashes }))
         .collect();
     while let Some(culprits) = most_crashes(&crashes) {
-        let is_clear = culprits.len() == 1;
+        let is_sole_suspect = culprits.len() == 1;
         for digest in &culprits {
-            let held = held(&crashes, *digest, is_clear);
-            standings.insert(*digest, Standing::Held(held));
+            let quarantined = quarantined(&crashes, *digest, is_sole_suspect);
+            statuses.insert(*digest, RequestStatus::Quarantined(quarantined));
         }
         crashes.retain(|_, crash| crash.requests.is_disjoint(&culprits));
     }
-    standings
+    statuses
 }
 
 fn counts(crashes: &Crashes) -> BTreeMap<RequestDigest, usize> {
@@ -172,7 +172,7 @@
 fn most_crashes(crashes: &Crashes) -> Option<BTreeSet<RequestDigest>> {
     let counts = counts(crashes);
     let most = counts.values().copied().max()?;
-    if most < CRASHES_TO_HOLD {
+    if most < MIN_CRASHES_TO_QUARANTINE {
         return None;
     }
     let has_most = |digest: &RequestDigest| counts.get(digest) == Some(&most);
@@ -184,22 +184,26 @@
     Some(rivals.copied().filter(|digest| has_most(digest)).collect())
 }
 
-fn held(crashes: &Crashes, digest: RequestDigest, is_clear: bool) -> Held {
+fn quarantined(
+    crashes: &Crashes,
+    digest: RequestDigest,
+    is_sole_suspect: bool,
+) -> QuarantinedRequest {
     let crashes: Vec<&Crash> = crashes
         .values()
         .filter(|crash| crash.requests.contains(&digest))
         .collect();
-    Held {
+    QuarantinedRequest {
         crashes: crashes.len(),
         software: crashes
             .iter()
             .filter_map(|crash| crash.software.clone())
             .collect(),
-        last_ms: crashes
+        last_crash_ms: crashes
             .iter()
             .map(|crash| crash.at_ms)
             .max()
             .unwrap_or_default(),
-        is_clear,
+        is_sole_suspect,
     }
 }
--- a/crates/sloetrail-quarantine/src/tests/judgement.rs
+++ b/crates/sloetrail-quarantine/src/tests/assessment.rs
@@ -1,7 +1,9 @@
 //! Who is held for which crashes.
 
 use super::fleets::digest;
-use crate::{Clearance, CrashReport, Judgement, RequestDigest, Standing, Suspect, judge};
+use crate::{
+    Clearance, CrashAssessment, CrashReport, RequestDigest, RequestStatus, Suspect, assess,
+};
 use sloetrail_types::{EngineId, ServiceName};
 
 fn service() -> ServiceName {
@@ -29,17 +31,17 @@
     }
 }
 
-fn held(judgement: &Judgement) -> Vec<RequestDigest> {
-    judgement
-        .held()
+fn quarantined(assessment: &CrashAssessment) -> Vec<RequestDigest> {
+    assessment
+        .quarantined()
         .map(|(suspect, _)| suspect.digest)
         .collect()
 }
 
-fn is_clear(judgement: &Judgement, name: &str) -> bool {
-    match judgement.standing(&service(), digest(name)) {
-        Standing::Held(held) => held.is_clear,
-        standing => panic!("{name}: {standing:?}"),
+fn is_sole_suspect(assessment: &CrashAssessment, name: &str) -> bool {
+    match assessment.status(&service(), digest(name)) {
+        RequestStatus::Quarantined(quarantined) => quarantined.is_sole_suspect,
+        status => panic!("{name}: {status:?}"),
     }
 }
 
@@ -50,13 +52,13 @@
         crash("b2", 20, &["culprit"]),
         crash("b3", 30, &["culprit"]),
     ];
-    let two = judge(&reports[..2], &[]);
-    assert_eq!(held(&two), []);
-    let standing = two.standing(&service(), digest("culprit"));
-    assert_eq!(*standing, Standing::Suspected { crashes: 2 });
-    let three = judge(&reports, &[]);
-    assert_eq!(held(&three), [digest("culprit")]);
-    assert!(is_clear(&three, "culprit"));
+    let two = assess(&reports[..2], &[]);
+    assert_eq!(quarantined(&two), []);
+    let status = two.status(&service(), digest("culprit"));
+    assert_eq!(*status, RequestStatus::Suspected { crashes: 2 });
+    let three = assess(&reports, &[]);
+    assert_eq!(quarantined(&three), [digest("culprit")]);
+    assert!(is_sole_suspect(&three, "culprit"));
 }
 
 #[test]
@@ -66,7 +68,7 @@
         crash("b1", 12, &["culprit", "other"]),
         crash("b1", 14, &["culprit"]),
     ];
-    assert_eq!(held(&judge(&reports, &[])), []);
+    assert_eq!(quarantined(&assess(&reports, &[])), []);
 }
 
 #[test]
@@ -77,10 +79,10 @@
         crash("b3", 30, &["culprit", "bystander"]),
         crash("b4", 40, &["culprit", "bystander"]),
     ];
-    let judgement = judge(&reports, &[]);
-    assert_eq!(held(&judgement), [digest("culprit")]);
-    let standing = judgement.standing(&service(), digest("bystander"));
-    assert_eq!(*standing, Standing::Suspected { crashes: 3 });
+    let assessment = assess(&reports, &[]);
+    assert_eq!(quarantined(&assessment), [digest("culprit")]);
+    let status = assessment.status(&service(), digest("bystander"));
+    assert_eq!(*status, RequestStatus::Suspected { crashes: 3 });
 }
 
 #[test]
@@ -90,13 +92,13 @@
         crash("b2", 20, &["culprit", "bystander"]),
         crash("b3", 30, &["culprit", "bystander"]),
     ];
-    let judgement = judge(&reports, &[]);
-    assert_eq!(held(&judgement).len(), 2);
-    assert!(!is_clear(&judgement, "culprit"));
-    assert!(!is_clear(&judgement, "bystander"));
-    let after_trial = judge(&reports, &[cleared("bystander", 50)]);
-    assert_eq!(held(&after_trial), [digest("culprit")]);
-    assert!(is_clear(&after_trial, "culprit"));
+    let assessment = assess(&reports, &[]);
+    assert_eq!(quarantined(&assessment).len(), 2);
+    assert!(!is_sole_suspect(&assessment, "culprit"));
+    assert!(!is_sole_suspect(&assessment, "bystander"));
+    let after_trial = assess(&reports, &[cleared("bystander", 50)]);
+    assert_eq!(quarantined(&after_trial), [digest("culprit")]);
+    assert!(is_sole_suspect(&after_trial, "culprit"));
 }
 
 #[test]
@@ -107,9 +109,9 @@
         crash("b3", 30, &["culprit", "bystander"]),
         crash("b4", 5_000, &["culprit"]),
     ];
-    let judgement = judge(&reports, &[]);
-    assert_eq!(held(&judgement), [digest("culprit")]);
-    assert!(is_clear(&judgement, "culprit"));
+    let assessment = assess(&reports, &[]);
+    assert_eq!(quarantined(&assessment), [digest("culprit")]);
+    assert!(is_sole_suspect(&assessment, "culprit"));
 }
 
 #[test]
@@ -119,10 +121,10 @@
         reports.push(crash(&format!("a{number}"), number, &["one"]));
         reports.push(crash(&format!("b{number}"), number, &["two"]));
     }
-    let judgement = judge(&reports, &[]);
-    assert_eq!(held(&judgement).len(), 2);
-    assert!(is_clear(&judgement, "one"));
-    assert!(is_clear(&judgement, "two"));
+    let assessment = assess(&reports, &[]);
+    assert_eq!(quarantined(&assessment).len(), 2);
+    assert!(is_sole_suspect(&assessment, "one"));
+    assert!(is_sole_suspect(&assessment, "two"));
 }
 
 #[test]
@@ -133,11 +135,14 @@
         crash("b3", 30, &["popular"]),
     ];
     let clearances = [cleared("popular", 25)];
-    assert_eq!(held(&judge(&reports, &clearances)), []);
+    assert_eq!(quarantined(&assess(&reports, &clearances)), []);
     reports.push(crash("b4", 40, &["popular"]));
-    assert_eq!(held(&judge(&reports, &clearances)), []);
+    assert_eq!(quarantined(&assess(&reports, &clearances)), []);
     reports.push(crash("b5", 50, &["popular"]));
-    assert_eq!(held(&judge(&reports, &clearances)), [digest("popular")]);
+    assert_eq!(
+        quarantined(&assess(&reports, &clearances)),
+        [digest("popular")]
+    );
 }
 
 #[test]
@@ -147,12 +152,12 @@
         crash("b2", 20, &["culprit"]),
         crash("b3", 30, &["culprit"]),
     ];
-    let judgement = judge(&reports, &[]);
+    let assessment = assess(&reports, &[]);
     let other = ServiceName::from("another");
-    assert!(judgement.is_empty(&other));
+    assert!(assessment.is_empty(&other));
     assert_eq!(
-        *judgement.standing(&other, digest("culprit")),
-        Standing::Free
+        *assessment.status(&other, digest("culprit")),
+        RequestStatus::Free
     );
 }
 
@@ -164,7 +169,7 @@
         crash("b3", 30, &["bystander", "third"]),
         crash("b4", 40, &["culprit", "third"]),
     ];
-    let judgement = judge(&reports, &[]);
+    let assessment = assess(&reports, &[]);
     reports.reverse();
-    assert_eq!(judge(&reports, &[]), judgement);
+    assert_eq!(assess(&reports, &[]), assessment);
 }
--- a/crates/sloetrail-quarantine/src/tests/fleets.rs
+++ b/crates/sloetrail-quarantine/src/tests/fleets.rs
@@ -1,6 +1,6 @@
 //! Drawn fleets: how many innocent requests are held, and how many back ends one culprit ends.
 
-use crate::{Clearance, CrashReport, RequestDigest, RequestParts, Standing, Suspect, judge};
+use crate::{Clearance, CrashReport, RequestDigest, RequestParts, RequestStatus, Suspect, assess};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use sloetrail_types::{EngineId, ServiceName};
@@ -31,7 +31,7 @@
     clearances: Vec<Clearance>,
     lives: usize,
     /// Innocent requests that were held, and all.
-    held: usize,
+    quarantined: usize,
     innocent: usize,
     culprit: Option<RequestDigest>,
     culprit_crashes: usize,
@@ -44,7 +44,7 @@
             reports: Vec::new(),
             clearances: Vec::new(),
             lives: 0,
-            held: 0,
+            quarantined: 0,
             innocent: 0,
             culprit: None,
             culprit_crashes: 0,
@@ -69,20 +69,23 @@
         at_ms: u64,
         crash_share: f64,
     ) -> Vec<RequestDigest> {
-        let judgement = judge(&self.reports, &self.clearances);
+        let assessment = assess(&self.reports, &self.clearances);
         let service = ServiceName::from("application");
-        let is_held = |digest: RequestDigest| {
-            matches!(judgement.standing(&service, digest), Standing::Held(_))
+        let is_quarantined = |digest: RequestDigest| {
+            matches!(
+                assessment.status(&service, digest),
+                RequestStatus::Quarantined(_)
+            )
         };
         let mut places: Vec<BTreeSet<RequestDigest>> = vec![BTreeSet::new(); BACK_ENDS];
         for request in requests {
-            if is_held(request) {
-                self.held += 1;
+            if is_quarantined(request) {
+                self.quarantined += 1;
                 continue;
             }
             places[self.rng.random_range(0..BACK_ENDS)].insert(request);
         }
-        let culprit = self.culprit.filter(|culprit| !is_held(*culprit));
+        let culprit = self.culprit.filter(|culprit| !is_quarantined(*culprit));
         let with_culprit = culprit.map(|culprit| {
             let place = self.rng.random_range(0..BACK_ENDS);
             places[place].insert(culprit);
@@ -120,7 +123,7 @@
 /// Crashes, innocent requests and those of them that were held, where no request is at fault
 /// and this part of the back ends crashes each second.
 fn without_culprit(fleets: u64, crash_share: f64) -> (usize, usize, usize) {
-    let (mut crashes, mut innocent, mut held) = (0, 0, 0);
+    let (mut crashes, mut innocent, mut quarantined) = (0, 0, 0);
     for seed in 0..fleets {
         let mut fleet = Fleet::new(seed);
         for second in 0..SECONDS {
@@ -128,41 +131,47 @@
         }
         crashes += fleet.lives;
         innocent += fleet.innocent;
-        held += fleet.held;
+        quarantined += fleet.quarantined;
     }
-    println!("crashes {crashes}, innocent {innocent}, held {held}");
-    (crashes, innocent, held)
+    println!("crashes {crashes}, innocent {innocent}, held {quarantined}");
+    (crashes, innocent, quarantined)
 }
 
 #[test]
 fn crashes_that_no_request_causes_hold_no_request() {
-    let (crashes, _, held) = without_culprit(1_000, 0.01);
+    let (crashes, _, quarantined) = without_culprit(1_000, 0.01);
     assert!(crashes > 500, "{crashes}");
-    assert_eq!(held, 0);
+    assert_eq!(quarantined, 0);
 }
 
 #[test]
 fn a_fleet_in_which_a_tenth_crashes_each_second_holds_a_few_in_a_hundred_thousand() {
-    let (crashes, innocent, held) = without_culprit(1_000, 0.1);
+    let (crashes, innocent, quarantined) = without_culprit(1_000, 0.1);
     assert!(crashes > 5_000, "{crashes}");
     // Each of them had lost three back ends, and its caller had no attempt left.
-    assert!(held * 20_000 <= innocent, "{held} of {innocent}");
+    assert!(
+        quarantined * 20_000 <= innocent,
+        "{quarantined} of {innocent}"
+    );
 }
 
 #[test]
 fn a_culprit_among_others_ends_three_back_ends_and_few_innocent_requests_are_held() {
-    let (mut held, mut innocent, mut most) = (0, 0, 0);
+    let (mut quarantined, mut innocent, mut most) = (0, 0, 0);
     for seed in 0..300 {
         let mut fleet = Fleet::new(seed);
         fleet.culprit = Some(digest("culprit"));
         for second in 0..SECONDS {
             fleet.second(second, 0.0);
         }
-        held += fleet.held;
+        quarantined += fleet.quarantined;
         innocent += fleet.innocent;
         most = most.max(fleet.culprit_crashes);
     }
-    println!("innocent {innocent}, held {held}, crashes of one culprit at most {most}");
+    println!("innocent {innocent}, held {quarantined}, crashes of one culprit at most {most}");
     assert_eq!(most, 3);
-    assert!(held * 1_000 <= innocent, "{held} of {innocent}");
+    assert!(
+        quarantined * 1_000 <= innocent,
+        "{quarantined} of {innocent}"
+    );
 }
--- a/crates/sloetrail-quarantine/src/tests/mod.rs
+++ b/crates/sloetrail-quarantine/src/tests/mod.rs
@@ -1,3 +1,3 @@
+mod assessment;
 mod digest;
 mod fleets;
-mod judgement;
--- a/crates/sloetrail-serving/src/back_end_connections.rs
+++ b/crates/sloetrail-serving/src/back_end_connections.rs
@@ -10,7 +10,7 @@
 use crate::http::{ConnectionPool, Exchange, Reuse, SendFailure, WholeBody};
 use crate::operator::InForce;
 use crate::pause_guard::PauseGuard;
-use crate::quarantine::Passage;
+use crate::quarantine::QuarantinePermit;
 use http::Request;
 use sloetrail_clock::BootInstant;
 use std::net::SocketAddr;
@@ -45,12 +45,12 @@
         &self,
         back_end: &BackEnd,
         request: Request<WholeBody>,
-        quarantine_permit: Option<&Passage>,
+        quarantine_permit: Option<&QuarantinePermit>,
         reuse: Reuse,
         deadline: BootInstant,
     ) -> Result<Exchange, SendFailure> {
         let takes_work =
-            || self.takes_work(back_end) && quarantine_permit.is_none_or(Passage::is_open);
+            || self.takes_work(back_end) && quarantine_permit.is_none_or(QuarantinePermit::is_open);
         // Checked before connecting too: an unused connection still costs the back end resources.
         let sent = match takes_work() {
             true => {
--- a/crates/sloetrail-serving/src/directory/tests.rs
+++ b/crates/sloetrail-serving/src/directory/tests.rs
@@ -51,8 +51,8 @@
 /// Evacuations with one that was just withdrawn.
 fn withdrawn(zone: &str) -> Evacuations {
     let mut evacuations = Evacuations::default();
-    evacuations.take([ZoneName::from(zone)].into());
-    evacuations.take([].into());
+    evacuations.replace([ZoneName::from(zone)].into());
+    evacuations.replace([].into());
     evacuations
 }
 
--- a/crates/sloetrail-serving/src/gateway/attempt.rs
+++ b/crates/sloetrail-serving/src/gateway/attempt.rs
@@ -7,7 +7,7 @@
 use crate::dialect::HeaderNames;
 use crate::ended_incarnations::wait_until_ended;
 use crate::http::{Exchange, Reuse, SendFailure, WholeAnswer, WholeBody};
-use crate::quarantine::Passage;
+use crate::quarantine::QuarantinePermit;
 use bytes::Bytes;
 use http::{HeaderMap, Method, Request, StatusCode, Uri};
 use sloetrail_balance::AttemptOutcome;
@@ -118,7 +118,7 @@
 pub(crate) async fn run_attempt(
     context: &NodeContext,
     outgoing: &OutgoingRequest,
-    quarantine_permit: &Passage,
+    quarantine_permit: &QuarantinePermit,
     back_end: &Arc<BackEnd>,
     reuse: Reuse,
     deadline: BootInstant,
@@ -144,7 +144,7 @@
 async fn send_and_read(
     context: &NodeContext,
     outgoing: &OutgoingRequest,
-    quarantine_permit: &Passage,
+    quarantine_permit: &QuarantinePermit,
     back_end: &BackEnd,
     reuse: Reuse,
     deadline: BootInstant,
--- a/crates/sloetrail-serving/src/gateway/live.rs
+++ b/crates/sloetrail-serving/src/gateway/live.rs
@@ -11,7 +11,7 @@
 use crate::context::NodeContext;
 use crate::events::{self, Event};
 use crate::http::{Reuse, WholeAnswer};
-use crate::quarantine::{Passage, RequestIdentity};
+use crate::quarantine::{QuarantinePermit, RequestIdentity};
 use crate::service_pools::SlotPermit;
 use crate::slot_waiter::SlotWaiter;
 use crate::telemetry;
@@ -90,14 +90,14 @@
     last_result: Option<&'static str>,
     /// The request's entry in the tenant's usage.
     counted: Option<BegunRequest>,
-    quarantine_permit: Passage,
+    quarantine_permit: QuarantinePermit,
 }
 
 impl LiveCall {
     /// Runs the request until its final answer.
     pub(crate) async fn run(&self) -> LiveOutcome {
         let mut quarantine_permit = self.quarantine_permit();
-        quarantine_permit.ask_for_trial(self.deadline).await;
+        quarantine_permit.acquire_trial(self.deadline).await;
         let run = Run {
             quarantine_permit,
             call: self,
@@ -140,7 +140,7 @@
     /// Logs an attempt that ended without an answer to forward.
     pub(crate) fn log_failed_attempt(
         &self,
-        quarantine_permit: &Passage,
+        quarantine_permit: &QuarantinePermit,
         slot: &SlotPermit,
         result: &AttemptResult,
         took: Duration,
@@ -158,9 +158,9 @@
     }
 
     /// Returns the permit that the quarantine checks before each send.
-    pub(crate) fn quarantine_permit(&self) -> Passage {
+    pub(crate) fn quarantine_permit(&self) -> QuarantinePermit {
         let identity = RequestIdentity::of(&self.outgoing, self.context.dialect.headers());
-        Passage::new(&self.context.quarantine, &self.service, identity)
+        QuarantinePermit::new(&self.context.quarantine, &self.service, identity)
     }
 
     /// Waits until a hedged attempt is due, and then until back ends may be chosen: the directory
@@ -274,7 +274,7 @@
                     }
                 }
                 () = call.wait_for_hedge(next_hedge), if may_hedge => {
-                    if self.quarantine_permit.may_be_hedged() {
+                    if self.quarantine_permit.allows_hedging() {
                         self.start_attempt();
                     }
                     next_hedge = BootInstant::now() + hedge_delay;
--- a/crates/sloetrail-serving/src/gateway/stream.rs
+++ b/crates/sloetrail-serving/src/gateway/stream.rs
@@ -16,7 +16,7 @@
 use crate::ended_incarnations::wait_until_ended;
 use crate::event_stream::EventParser;
 use crate::http::{AnswerBody, Exchange, Reuse, SendFailure, WholeAnswer};
-use crate::quarantine::{Passage, RunWatch};
+use crate::quarantine::{QuarantinePermit, RunWatch};
 use crate::service_pools::SlotPermit;
 use crate::slot_waiter::SlotWaiter;
 use crate::usage::BegunRequest;
@@ -120,7 +120,7 @@
     has_forwarded_events: bool,
     /// The request's entry in the tenant's usage, which starts with the first event.
     counted: Option<BegunRequest>,
-    quarantine_permit: Passage,
+    quarantine_permit: QuarantinePermit,
 }
 
 struct ForwardedStream {
@@ -174,7 +174,7 @@
         let mut last_result = None;
         let mut wait = SlotWait::default();
         self.quarantine_permit
-            .ask_for_trial(self.call.deadline)
+            .acquire_trial(self.call.deadline)
             .await;
         while self.may_try() {
             let Some(slot) = self.acquire_or_wait(&mut wait).await else {
--- a/crates/sloetrail-serving/src/node.rs
+++ b/crates/sloetrail-serving/src/node.rs
@@ -111,7 +111,7 @@
         }
         tokio::spawn(keep_house(Arc::clone(&context)));
         let (quarantine, fleet) = (Arc::clone(&context.quarantine), context.fleet.clone());
-        tokio::spawn(quarantine::keep_swept(quarantine, fleet));
+        tokio::spawn(quarantine::run_row_sweeper(quarantine, fleet));
         if context.claims.is_some() {
             let (table, fleet) = (Arc::clone(&context.table), context.fleet.clone());
             tokio::spawn(sweep::run_sweeper(table, fleet));
@@ -399,10 +399,10 @@
         back_ends_listed: directory.total_rows,
         directory_age: age(*context.directory_taken_in.borrow()),
         operator_age: age(*context.operator_taken_in.borrow()),
-        zones: context.zone_work.evacuated(),
+        zones: context.zone_work.evacuated_zones(),
         zones_evacuated: context.in_force.borrow().evacuations.count(),
         back_ends_cold: directory.cold_count(BootInstant::now()),
-        requests_held: context.quarantine.judgement().held().count(),
+        requests_held: context.quarantine.assessment().quarantined().count(),
         lease_view_age: context.leases.borrow().age(BootInstant::now()),
         requests: callers.requests(),
         connections: callers.connections(),
--- a/crates/sloetrail-serving/src/operator.rs
+++ b/crates/sloetrail-serving/src/operator.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 
 /// Pairs of routes and tenants that are told of a configuration: a mistake shows in the first.
-const EXCLUSIONS_TOLD: usize = 100;
+const MAX_REPORTED_CONFLICTS: usize = 100;
 
 /// The newest published version of each model.
 pub type PublishedVersions = BTreeMap<String, WeightVersion>;
@@ -48,7 +48,7 @@
     }
 
     /// Takes in the zones that are evacuated now; true if they changed.
-    pub(crate) fn take(&mut self, zones: BTreeSet<ZoneName>) -> bool {
+    pub(crate) fn replace(&mut self, zones: BTreeSet<ZoneName>) -> bool {
         if zones == self.zones {
             return false;
         }
@@ -85,25 +85,25 @@
     dialect: Arc<dyn Dialect>,
 ) -> (watch::Receiver<Arc<InForce>>, LastApplied) {
     let (sender, receiver) = watch::channel(Arc::new(InForce::default()));
-    let (taken_in, taken_in_at) = watch::channel(view.borrow().requested_at);
+    let (applied, applied_at) = watch::channel(view.borrow().requested_at);
     tokio::spawn(async move {
         while view.changed().await.is_ok() && !sender.is_closed() {
             let table = view.borrow_and_update().clone();
             let mut next = InForce::clone(&sender.borrow());
-            let configured = take_configuration(&mut next, &table, &*dialect);
-            let published = take_versions(&mut next, &table, &*dialect);
-            let evacuated = take_evacuations(&mut next, &table, &*dialect);
+            let configured = apply_configuration(&mut next, &table, &*dialect);
+            let published = apply_versions(&mut next, &table, &*dialect);
+            let evacuated = apply_evacuations(&mut next, &table, &*dialect);
             if configured || published || evacuated {
                 sender.send_replace(Arc::new(next));
             }
-            taken_in.send_replace(table.requested_at);
+            applied.send_replace(table.requested_at);
         }
     });
-    (receiver, taken_in_at)
+    (receiver, applied_at)
 }
 
 /// Takes in a newer configuration; true if there was one.
-fn take_configuration(in_force: &mut InForce, table: &TableView, dialect: &dyn Dialect) -> bool {
+fn apply_configuration(in_force: &mut InForce, table: &TableView, dialect: &dyn Dialect) -> bool {
     let address = &dialect.sources().configuration;
     let Some(row) = table.rows.get(&address.key) else {
         return false;
@@ -130,15 +130,18 @@
         revision: configuration.revision.0,
         routes: configuration.routes.iter().count(),
     });
-    tell_exclusions(&configuration);
+    emit_region_conflicts(&configuration);
     in_force.configuration = Some(Arc::new(configuration));
     true
 }
 
 /// Tells which routes and tenants have no region in common: whoever wrote the file learns it
 /// before the first request is refused.
-fn tell_exclusions(configuration: &ServingConfiguration) {
-    for (route, tenant) in configuration.region_conflicts().take(EXCLUSIONS_TOLD) {
+fn emit_region_conflicts(configuration: &ServingConfiguration) {
+    for (route, tenant) in configuration
+        .region_conflicts()
+        .take(MAX_REPORTED_CONFLICTS)
+    {
         events::emit(&Event::RegionsExclude {
             route: &route.name,
             tenant: tenant.name.as_str(),
@@ -148,17 +151,17 @@
 }
 
 /// Takes in which zones are evacuated; true if that has changed.
-fn take_evacuations(in_force: &mut InForce, table: &TableView, dialect: &dyn Dialect) -> bool {
+fn apply_evacuations(in_force: &mut InForce, table: &TableView, dialect: &dyn Dialect) -> bool {
     let keys = table.rows.keys();
     let zones: BTreeSet<ZoneName> = keys.filter_map(|key| dialect.evacuated_zone(key)).collect();
     if zones == in_force.evacuations.zones {
         return false;
     }
-    Arc::make_mut(&mut in_force.evacuations).take(zones)
+    Arc::make_mut(&mut in_force.evacuations).replace(zones)
 }
 
 /// Takes in newer published versions; true if there were any.
-fn take_versions(in_force: &mut InForce, table: &TableView, dialect: &dyn Dialect) -> bool {
+fn apply_versions(in_force: &mut InForce, table: &TableView, dialect: &dyn Dialect) -> bool {
     let mut changed = false;
     for (key, row) in &table.rows {
         let Some(published) = dialect.published_version(key, &row.value) else {
--- a/crates/sloetrail-serving/src/operator/tests.rs
+++ b/crates/sloetrail-serving/src/operator/tests.rs
@@ -1,6 +1,6 @@
 //! Evacuations as they are asked for, withdrawn and asked for again.
 
-use super::{Evacuations, InForce, take_evacuations};
+use super::{Evacuations, InForce, apply_evacuations};
 use crate::follow::TableView;
 use crate::native_dialect::NativeDialect;
 use crate::table::{Row, RowAddress};
@@ -21,16 +21,19 @@
 async fn a_withdrawal_is_dated_once_and_only_for_its_zone() {
     let (north, south) = (ZoneName::from("north"), ZoneName::from("south"));
     let mut evacuations = Evacuations::default();
-    assert!(evacuations.take(zones(&["north", "south"])));
+    assert!(evacuations.replace(zones(&["north", "south"])));
     assert!(evacuations.covers(&north) && evacuations.covers(&south));
     assert_eq!(evacuations.withdrawn_at(&north), None);
     advance(SECOND).await;
     let withdrawn_at = BootInstant::now();
-    assert!(evacuations.take(zones(&["south"])));
+    assert!(evacuations.replace(zones(&["south"])));
     assert!(!evacuations.covers(&north) && evacuations.covers(&south));
     assert_eq!(evacuations.count(), 1);
     advance(SECOND).await;
-    assert!(!evacuations.take(zones(&["south"])), "nothing has changed");
+    assert!(
+        !evacuations.replace(zones(&["south"])),
+        "nothing has changed"
+    );
     assert_eq!(evacuations.withdrawn_at(&north), Some(withdrawn_at));
     assert_eq!(evacuations.withdrawn_at(&south), None);
 }
@@ -40,10 +43,10 @@
     let north = ZoneName::from("north");
     let mut evacuations = Evacuations::default();
     for _ in 0..2 {
-        evacuations.take(zones(&["north"]));
+        evacuations.replace(zones(&["north"]));
         assert!(evacuations.covers(&north));
         advance(SECOND).await;
-        evacuations.take(zones(&[]));
+        evacuations.replace(zones(&[]));
         assert_eq!(evacuations.withdrawn_at(&north), Some(BootInstant::now()));
         advance(SECOND).await;
     }
@@ -69,9 +72,9 @@
     let dialect = NativeDialect::default();
     let mut in_force = InForce::default();
     let asked = table(&["evacuations/north", "versions/north", "configuration"]);
-    assert!(take_evacuations(&mut in_force, &asked, &dialect));
+    assert!(apply_evacuations(&mut in_force, &asked, &dialect));
     assert_eq!(in_force.evacuations.zones, zones(&["north"]));
-    assert!(!take_evacuations(&mut in_force, &asked, &dialect));
-    assert!(take_evacuations(&mut in_force, &table(&[]), &dialect));
+    assert!(!apply_evacuations(&mut in_force, &asked, &dialect));
+    assert!(apply_evacuations(&mut in_force, &table(&[]), &dialect));
     assert_eq!(in_force.evacuations.count(), 0);
 }
--- a/crates/sloetrail-serving/src/owner/event.rs
+++ b/crates/sloetrail-serving/src/owner/event.rs
@@ -6,7 +6,7 @@
 use super::run::RunOutcome;
 use crate::back_end::{EngineStatus, OrderAnswer};
 use crate::leases::OrderWindow;
-use crate::quarantine::Passage;
+use crate::quarantine::QuarantinePermit;
 use sloetrail_batch::{BatchId, ItemIndex, ListedResult, Transcript};
 use sloetrail_types::{EngineId, WeightVersion};
 use std::time::Duration;
@@ -25,7 +25,7 @@
     },
     /// A request for a trial of a quarantined item ended. The permit is on trial if it was
     /// granted.
-    TrialDecided((BatchId, ItemIndex), Box<Passage>),
+    TrialDecided((BatchId, ItemIndex), Box<QuarantinePermit>),
     RewardEnded(Scoring, RewardOutcome),
     Committed(Committed),
     /// An attempt to open the order window ended; the window may still be closed.
--- a/crates/sloetrail-serving/src/owner/run.rs
+++ b/crates/sloetrail-serving/src/owner/run.rs
@@ -11,7 +11,7 @@
 };
 use crate::gateway::{caller, headers};
 use crate::http::{AnswerBody, Exchange, Reuse, SendFailure};
-use crate::quarantine::Passage;
+use crate::quarantine::QuarantinePermit;
 use crate::zone_work::WorkKind;
 use http::header::{CONTENT_TYPE, HOST};
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
@@ -43,7 +43,7 @@
     pub(super) priority: u8,
     pub(super) sends: Arc<EngineSends>,
     pub(super) resend_bound: Option<SendBound>,
-    pub(super) quarantine_permit: Passage,
+    pub(super) quarantine_permit: QuarantinePermit,
     pub(super) event_interval: Arc<EventIntervalMeter>,
     pub(super) progress: Arc<RunProgress>,
     pub(super) cancel: CancellationToken,
@@ -181,7 +181,7 @@
                 drop(watch)
             }
             RunOutcome::NotRun | RunOutcome::WrongInstance | RunOutcome::Withheld => {
-                watch.not_lost();
+                watch.not_running();
             }
         }
         outcome
--- a/crates/sloetrail-serving/src/owner/service_owner/quarantined_items.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/quarantined_items.rs
@@ -6,7 +6,7 @@
 
 use super::ServiceOwner;
 use crate::owner::event::OwnerEvent;
-use crate::quarantine::{Passage, Permission, RequestIdentity};
+use crate::quarantine::{Permission, QuarantinePermit, RequestIdentity};
 use sloetrail_batch::{BatchId, ItemIndex};
 use sloetrail_clock::BootInstant;
 use std::collections::BTreeMap;
@@ -18,9 +18,9 @@
 
 #[derive(Default)]
 pub(super) struct QuarantinedItems {
-    items: BTreeMap<ItemKey, Passage>,
+    items: BTreeMap<ItemKey, QuarantinePermit>,
     /// Items in the queue that may run once, as a trial.
-    on_trial: BTreeMap<ItemKey, Passage>,
+    on_trial: BTreeMap<ItemKey, QuarantinePermit>,
     /// True while a request for a trial is in flight.
     is_trial_pending: bool,
 }
@@ -28,7 +28,11 @@
 impl ServiceOwner {
     /// Returns the permit that decides whether an item may be sent to engines. None if its batch
     /// is not open.
-    pub(super) fn quarantine_permit(&mut self, id: &BatchId, index: ItemIndex) -> Option<Passage> {
+    pub(super) fn quarantine_permit(
+        &mut self,
+        id: &BatchId,
+        index: ItemIndex,
+    ) -> Option<QuarantinePermit> {
         let key = (id.clone(), index);
         if let Some(on_trial) = self.quarantined.on_trial.remove(&key) {
             return Some(on_trial);
@@ -37,12 +41,12 @@
         let (header, item) = (&open.batch.header, &open.batch.item(index).submitted);
         let identity = RequestIdentity::of_item(header.tenant.as_ref(), &header.host, item);
         let quarantine = &self.context.quarantine;
-        Some(Passage::new(quarantine, &self.service, identity))
+        Some(QuarantinePermit::new(quarantine, &self.service, identity))
     }
 
     /// Sets the quarantined items at the head of a batch's queue aside.
     pub(super) fn set_aside_quarantined(&mut self, id: &BatchId) {
-        if self.context.quarantine.judgement().is_empty(&self.service) {
+        if self.context.quarantine.assessment().is_empty(&self.service) {
             return;
         }
         while let Some(index) = self.batches.get(id).and_then(|open| open.batch.peek()) {
@@ -93,14 +97,14 @@
         let sender = self.sender.clone();
         tokio::spawn(async move {
             permit
-                .ask_for_trial(BootInstant::now() + TRIAL_TIMEOUT)
+                .acquire_trial(BootInstant::now() + TRIAL_TIMEOUT)
                 .await;
             // The receiver is gone if the term has ended.
             let _ = sender.send(OwnerEvent::TrialDecided(key, Box::new(permit)));
         });
     }
 
-    pub(super) fn trial_decided(&mut self, key: ItemKey, permit: Passage) {
+    pub(super) fn trial_decided(&mut self, key: ItemKey, permit: QuarantinePermit) {
         self.quarantined.is_trial_pending = false;
         if permit.is_on_trial() && self.quarantined.items.remove(&key).is_some() {
             self.quarantined.on_trial.insert(key.clone(), permit);
--- a/crates/sloetrail-serving/src/quarantine/book.rs
+++ b/crates/sloetrail-serving/src/quarantine/crash_registry.rs
@@ -5,14 +5,14 @@
 use crate::rows;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
-use sloetrail_quarantine::{Clearance, CrashReport, Judgement, judge};
+use sloetrail_quarantine::{Clearance, CrashAssessment, CrashReport, assess};
 use sloetrail_types::RowVersion;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Entries that are counted. A rack of forty back ends that ends at once is told of by a few
 /// hundred; each takes about 300 bytes. Of more than these the oldest are left out.
-const ENTRIES_MOST: usize = 2_000;
+const MAX_ENTRIES: usize = 2_000;
 
 /// What a row says.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -46,7 +46,7 @@
 
 /// An entry of the table, with the version of its row.
 #[derive(Clone, Debug)]
-struct Told {
+struct StoredEntry {
     version: RowVersion,
     /// Nothing if the row cannot be read.
     entry: Option<Entry>,
@@ -54,54 +54,60 @@
 
 /// All entries that are known, by the keys of their rows.
 #[derive(Debug, Default)]
-pub(super) struct Book {
-    told: BTreeMap<String, Told>,
+pub(super) struct CrashRegistry {
+    stored: BTreeMap<String, StoredEntry>,
     /// Those of this node that the table has not told yet.
-    own: BTreeMap<String, Entry>,
+    unconfirmed: BTreeMap<String, Entry>,
 }
 
-impl Book {
+impl CrashRegistry {
     /// Adds an entry of this node.
-    pub(super) fn add_own(&mut self, key: String, entry: Entry) {
-        self.own.insert(key, entry);
-        while self.own.len() > ENTRIES_MOST {
-            self.own.pop_first();
+    pub(super) fn add_unconfirmed(&mut self, key: String, entry: Entry) {
+        self.unconfirmed.insert(key, entry);
+        while self.unconfirmed.len() > MAX_ENTRIES {
+            self.unconfirmed.pop_first();
         }
     }
 
     /// Takes in the table's rows; false if nothing has changed.
-    pub(super) fn take_view(&mut self, view: &TableView) -> bool {
+    pub(super) fn apply_view(&mut self, view: &TableView) -> bool {
         let rows = view.rows.range(rows::quarantine_keys());
         let versions = rows.clone().map(|(key, row)| (key, row.version));
-        let known = self.told.iter().map(|(key, told)| (key, told.version));
+        let known = self
+            .stored
+            .iter()
+            .map(|(key, stored)| (key, stored.version));
         if versions.eq(known) {
             return false;
         }
-        let mut before = std::mem::take(&mut self.told);
+        let mut before = std::mem::take(&mut self.stored);
         for (key, row) in rows {
             let known = before.remove(key);
             let known = known.filter(|known| known.version == row.version);
-            let told = known.unwrap_or_else(|| Told {
+            let stored = known.unwrap_or_else(|| StoredEntry {
                 version: row.version,
                 entry: read(key, &row.value),
             });
-            self.told.insert(key.clone(), told);
-            self.own.remove(key);
+            self.stored.insert(key.clone(), stored);
+            self.unconfirmed.remove(key);
         }
         true
     }
 
-    /// How requests stand, by the entries that are not older than `hold`.
-    pub(super) fn judge(&self, now_ms: Option<u64>, hold: Duration) -> Judgement {
+    /// How requests stand, by the entries that are not older than `retention`.
+    pub(super) fn assess(&self, now_ms: Option<u64>, retention: Duration) -> CrashAssessment {
         let since_ms = now_ms
             .unwrap_or_default()
-            .saturating_sub(hold.as_millis() as u64);
-        let told = self.told.values().filter_map(|told| told.entry.as_ref());
-        let entries = told.chain(self.own.values());
+            .saturating_sub(retention.as_millis() as u64);
+        let stored = self
+            .stored
+            .values()
+            .filter_map(|stored| stored.entry.as_ref());
+        let entries = stored.chain(self.unconfirmed.values());
         let mut entries: Vec<&Entry> = entries.filter(|entry| entry.at_ms() >= since_ms).collect();
-        if entries.len() > ENTRIES_MOST {
+        if entries.len() > MAX_ENTRIES {
             entries.sort_by_key(|entry| std::cmp::Reverse(entry.at_ms()));
-            entries.truncate(ENTRIES_MOST);
+            entries.truncate(MAX_ENTRIES);
         }
         let reports = entries.iter().filter_map(|entry| match entry {
             Entry::Crashed(report) => Some(report),
@@ -111,24 +117,28 @@
             Entry::Cleared(clearance) => Some(clearance),
             Entry::Crashed(_) => None,
         });
-        judge(reports, clearances)
+        assess(reports, clearances)
     }
 
-    /// The rows that are older than `hold`, or past the number that is counted.
-    pub(super) fn outdated(&self, now_ms: u64, hold: Duration) -> Vec<(String, RowVersion)> {
-        let since_ms = now_ms.saturating_sub(hold.as_millis() as u64);
+    /// The rows that are older than `retention`, or past the number that is counted.
+    pub(super) fn expired_rows(
+        &self,
+        now_ms: u64,
+        retention: Duration,
+    ) -> Vec<(String, RowVersion)> {
+        let since_ms = now_ms.saturating_sub(retention.as_millis() as u64);
         let mut by_age: Vec<(u64, &String, RowVersion)> = self
-            .told
+            .stored
             .iter()
-            .map(|(key, told)| {
-                let at_ms = told.entry.as_ref().map(Entry::at_ms).unwrap_or_default();
-                (at_ms, key, told.version)
+            .map(|(key, stored)| {
+                let at_ms = stored.entry.as_ref().map(Entry::at_ms).unwrap_or_default();
+                (at_ms, key, stored.version)
             })
             .collect();
         by_age.sort();
-        let surplus = by_age.len().saturating_sub(ENTRIES_MOST);
-        let outdated = by_age.into_iter().enumerate();
-        outdated
+        let surplus = by_age.len().saturating_sub(MAX_ENTRIES);
+        let expired_rows = by_age.into_iter().enumerate();
+        expired_rows
             .filter(|(place, (at_ms, _, _))| *place < surplus || *at_ms < since_ms)
             .map(|(_, (_, key, version))| (key.clone(), version))
             .collect()
--- a/crates/sloetrail-serving/src/quarantine/crash_watch.rs
+++ b/crates/sloetrail-serving/src/quarantine/crash_watch.rs
@@ -20,15 +20,15 @@
 
 /// A process that ends closes what it has open one after the other: its connections may break
 /// a moment before its address refuses others.
-const SECOND_LOOK_AFTER: Duration = Duration::from_millis(30);
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(30);
 /// How long losses of one back end count as of one crash: all of them are noticed within
 /// milliseconds, unless this process stands still meanwhile.
-const KEPT_FOR: Duration = Duration::from_secs(10);
+const LOSS_RETENTION: Duration = Duration::from_secs(10);
 /// How long a request that was left to itself may still be running: back ends drop one
 /// whose connection has closed, most of them at once.
-const LEFT_FOR: Duration = Duration::from_millis(1_500);
+const MAX_ABANDONED_RUN: Duration = Duration::from_millis(1_500);
 /// Requests that are told of with one crash. A back end runs a few dozen at a time.
-const REQUESTS_MOST: usize = 64;
+const MAX_REQUESTS_PER_CRASH: usize = 64;
 
 /// A crash of a back end.
 #[derive(Debug, PartialEq, Eq)]
@@ -39,18 +39,18 @@
 
 /// What has to be done to find out whether a back end has crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Look {
+pub(super) enum CrashCheck {
     /// Its address has to be looked at.
-    AtAddress,
+    ProbeAddress,
     /// It is known to have crashed, and this request was there too.
-    Known(RequestDigest),
+    AlreadyCrashed(RequestDigest),
 }
 
 /// What is known of a back end at which requests were lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     /// It is being looked at.
-    Looking,
+    Probing,
     /// Something listened at its address: it has lost connections, or is back already.
     Listening,
     /// It has crashed.
@@ -69,28 +69,29 @@
 struct State {
     losses: BTreeMap<EngineId, Losses>,
     /// Requests that were left to themselves, and when.
-    left: BTreeMap<EngineId, Vec<(BootInstant, RequestDigest)>>,
+    abandoned: BTreeMap<EngineId, Vec<(BootInstant, RequestDigest)>>,
 }
 
 impl State {
-    fn forget_old(&mut self, now: BootInstant) {
+    fn expire(&mut self, now: BootInstant) {
         let age = |since: BootInstant| now.saturating_duration_since(since);
-        self.losses.retain(|_, known| age(known.since) < KEPT_FOR);
-        self.left.retain(|_, requests| {
-            requests.retain(|(since, _)| age(*since) < LEFT_FOR);
+        self.losses
+            .retain(|_, known| age(known.since) < LOSS_RETENTION);
+        self.abandoned.retain(|_, requests| {
+            requests.retain(|(since, _)| age(*since) < MAX_ABANDONED_RUN);
             !requests.is_empty()
         });
     }
 
     /// A back end of which nothing was known has to be looked at.
-    fn look_at(&mut self, back_end: &BackEnd, now: BootInstant) -> &mut Losses {
-        let looking = Losses {
+    fn losses_of(&mut self, back_end: &BackEnd, now: BootInstant) -> &mut Losses {
+        let probing = Losses {
             back_end: back_end.clone(),
-            stage: Stage::Looking,
+            stage: Stage::Probing,
             requests: BTreeSet::new(),
             since: now,
         };
-        self.losses.entry(back_end.id.clone()).or_insert(looking)
+        self.losses.entry(back_end.id.clone()).or_insert(probing)
     }
 }
 
@@ -115,79 +116,87 @@
     }
 
     /// A request was lost while it may have been running at a back end.
-    pub(super) fn note_lost(&self, back_end: &BackEnd, request: RequestDigest) -> Option<Look> {
+    pub(super) fn record_lost_run(
+        &self,
+        back_end: &BackEnd,
+        request: RequestDigest,
+    ) -> Option<CrashCheck> {
         if self.ended.borrow().end_of(&back_end.id) == Some(IncarnationEnd::Crashed) {
-            return Some(Look::Known(request));
+            return Some(CrashCheck::AlreadyCrashed(request));
         }
         if !self.takes_work(back_end) {
             return None;
         }
         let now = BootInstant::now();
         let mut state = self.state.lock().expect("not poisoned");
-        state.forget_old(now);
+        state.expire(now);
         let before = state.losses.get(&back_end.id).map(|known| known.stage);
-        let known = state.look_at(back_end, now);
-        let has_room = known.requests.len() < REQUESTS_MOST;
+        let known = state.losses_of(back_end, now);
+        let has_room = known.requests.len() < MAX_REQUESTS_PER_CRASH;
         let is_new = has_room && known.requests.insert(request);
         match before {
-            None => Some(Look::AtAddress),
+            None => Some(CrashCheck::ProbeAddress),
             // It had lost connections before; this time it may have crashed. What was lost long
             // before was not there any more.
             Some(Stage::Listening) => {
-                if now.saturating_duration_since(known.since) >= LEFT_FOR {
+                if now.saturating_duration_since(known.since) >= MAX_ABANDONED_RUN {
                     known.requests = BTreeSet::from([request]);
                 }
                 known.since = now;
-                known.stage = Stage::Looking;
-                Some(Look::AtAddress)
+                known.stage = Stage::Probing;
+                Some(CrashCheck::ProbeAddress)
             }
-            Some(Stage::Looking) => None,
-            Some(Stage::Crashed) => is_new.then_some(Look::Known(request)),
+            Some(Stage::Probing) => None,
+            Some(Stage::Crashed) => is_new.then_some(CrashCheck::AlreadyCrashed(request)),
         }
     }
 
     /// A request was left to itself while it may have been running at a back end.
-    pub(super) fn note_left(&self, back_end: &BackEnd, request: RequestDigest) {
+    pub(super) fn record_abandoned_run(&self, back_end: &BackEnd, request: RequestDigest) {
         let now = BootInstant::now();
         let mut state = self.state.lock().expect("not poisoned");
-        state.forget_old(now);
-        let left = state.left.entry(back_end.id.clone()).or_default();
-        if left.len() < REQUESTS_MOST {
-            left.push((now, request));
+        state.expire(now);
+        let abandoned = state.abandoned.entry(back_end.id.clone()).or_default();
+        if abandoned.len() < MAX_REQUESTS_PER_CRASH {
+            abandoned.push((now, request));
         }
     }
 
     /// A back end could not be reached, which tells of a crash if a request was left there.
-    pub(super) fn note_unreached(&self, back_end: &BackEnd) -> Option<Look> {
+    pub(super) fn record_unreached(&self, back_end: &BackEnd) -> Option<CrashCheck> {
         let now = BootInstant::now();
         let mut state = self.state.lock().expect("not poisoned");
-        state.forget_old(now);
+        state.expire(now);
         let is_known = state.losses.contains_key(&back_end.id);
-        let was_left = state.left.contains_key(&back_end.id);
-        if is_known || !was_left || !self.takes_work(back_end) {
+        let was_abandoned = state.abandoned.contains_key(&back_end.id);
+        if is_known || !was_abandoned || !self.takes_work(back_end) {
             return None;
         }
-        state.look_at(back_end, now);
-        Some(Look::AtAddress)
+        state.losses_of(back_end, now);
+        Some(CrashCheck::ProbeAddress)
     }
 
     /// Finds out whether a back end has crashed.
-    pub(super) async fn find_out(&self, back_end: &BackEnd, look: Look) -> Option<Crash> {
-        if let Look::Known(request) = look {
+    pub(super) async fn confirm_crash(
+        &self,
+        back_end: &BackEnd,
+        check: CrashCheck,
+    ) -> Option<Crash> {
+        if let CrashCheck::AlreadyCrashed(request) = check {
             // What was left there is told with the crash itself.
             let requests = BTreeSet::from([request]);
             return Some(Crash { requests });
         }
         let mut seen = look_at(back_end.address).await;
         if seen == Listening::Yes {
-            tokio::time::sleep(SECOND_LOOK_AFTER).await;
+            tokio::time::sleep(SECOND_PROBE_DELAY).await;
             seen = look_at(back_end.address).await;
         }
         if seen != Listening::No {
             let mut state = self.state.lock().expect("not poisoned");
             let known = state.losses.get_mut(&back_end.id);
-            let looking = known.filter(|known| known.stage == Stage::Looking);
-            if let Some(known) = looking {
+            let probing = known.filter(|known| known.stage == Stage::Probing);
+            if let Some(known) = probing {
                 known.stage = Stage::Listening;
             }
             return None;
@@ -197,10 +206,10 @@
     }
 
     /// The crashes of back ends that have come back under their names since.
-    pub(super) fn take_ended(&self) -> Vec<(BackEnd, Crash)> {
+    pub(super) fn take_ended_crashes(&self) -> Vec<(BackEnd, Crash)> {
         let ended = self.ended.borrow().clone();
         let mut state = self.state.lock().expect("not poisoned");
-        state.forget_old(BootInstant::now());
+        state.expire(BootInstant::now());
         let has_crashed = |known: &Losses| {
             let end = ended.end_of(&known.back_end.id);
             known.stage != Stage::Crashed && end == Some(IncarnationEnd::Crashed)
@@ -216,11 +225,11 @@
 
     fn crashed(state: &mut State, back_end: &BackEnd) -> Crash {
         telemetry::back_end_crashed(back_end.service.as_str());
-        let left = state.left.remove(&back_end.id).unwrap_or_default();
-        let known = state.look_at(back_end, BootInstant::now());
+        let abandoned = state.abandoned.remove(&back_end.id).unwrap_or_default();
+        let known = state.losses_of(back_end, BootInstant::now());
         known.stage = Stage::Crashed;
-        let left = left.into_iter().map(|(_, request)| request);
-        known.requests.extend(left);
+        let abandoned = abandoned.into_iter().map(|(_, request)| request);
+        known.requests.extend(abandoned);
         Crash {
             requests: known.requests.clone(),
         }
--- a/crates/sloetrail-serving/src/quarantine/mod.rs
+++ b/crates/sloetrail-serving/src/quarantine/mod.rs
@@ -4,7 +4,7 @@
 //! counted must be counted by all nodes together and must outlast each of them: a node that
 //! finds a back end crashed ([`crash_watch`]) writes a row with the digests of its requests
 //! that were there, and every node works out from all rows which requests are held
-//! ([`sloetrail_quarantine::judge`]). The rows lie with the leases, which every node follows:
+//! ([`sloetrail_quarantine::assess`]). The rows lie with the leases, which every node follows:
 //! an ordinary request costs a look at what is known and no message, and rows are written
 //! after crashes alone. What a node has found itself counts there at once, also while the
 //! table is away.
@@ -12,7 +12,7 @@
 //! Every send asks [`Quarantine::permission`] at the moment at which it leaves, by beliefs that
 //! were confirmed since the process last woke.
 
-mod book;
+mod crash_registry;
 mod crash_watch;
 mod identity;
 mod operator;
@@ -23,11 +23,11 @@
 mod writer;
 
 pub(crate) use identity::RequestIdentity;
-pub(crate) use permission::{Passage, Permission};
+pub(crate) use permission::{Permission, QuarantinePermit};
 pub(crate) use run_watch::RunWatch;
-pub(crate) use sweep::keep_swept;
+pub(crate) use sweep::run_row_sweeper;
 
-use self::book::{Book, Entry};
+use self::crash_registry::{CrashRegistry, Entry};
 use self::crash_watch::{Crash, CrashWatch};
 use self::writer::Writer;
 use crate::back_end::BackEnd;
@@ -39,7 +39,9 @@
 use crate::settings::ServingSettings;
 use crate::table::Table;
 use sloetrail_clock::BootInstant;
-use sloetrail_quarantine::{Clearance, CrashReport, Judgement, RequestDigest, Standing, Suspect};
+use sloetrail_quarantine::{
+    Clearance, CrashAssessment, CrashReport, RequestDigest, RequestStatus, Suspect,
+};
 use sloetrail_types::{NodeId, ServiceName};
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -54,10 +56,10 @@
     leases: ViewReceiver,
     instance: NodeId,
     /// How long a crash speaks against a request.
-    hold: Duration,
+    retention: Duration,
     crashes: CrashWatch,
-    book: Mutex<Book>,
-    judgement: RwLock<Arc<Judgement>>,
+    registry: Mutex<CrashRegistry>,
+    assessment: RwLock<Arc<CrashAssessment>>,
     writer: Writer,
     /// Tells the rows of this life apart.
     next_row: AtomicU64,
@@ -72,7 +74,7 @@
         (directory, ended): (watch::Receiver<Arc<Directory>>, EndedIncarnationsReceiver),
         leases: ViewReceiver,
     ) -> (Arc<Self>, LastApplied) {
-        let (taken_in, taken_in_at) = watch::channel(leases.borrow().requested_at);
+        let (applied, applied_at) = watch::channel(leases.borrow().requested_at);
         let quarantine = Arc::new(Self {
             crashes: CrashWatch::new(directory.clone(), ended.clone()),
             writer: Writer::start(Arc::clone(&table)),
@@ -80,56 +82,56 @@
             directory,
             leases: leases.clone(),
             instance: settings.instance.clone(),
-            hold: settings.bounds.quarantine,
-            book: Mutex::default(),
-            judgement: RwLock::default(),
+            retention: settings.bounds.quarantine,
+            registry: Mutex::default(),
+            assessment: RwLock::default(),
             next_row: AtomicU64::new(1),
         });
         let following = Arc::downgrade(&quarantine);
-        tokio::spawn(follow(following, leases, taken_in));
+        tokio::spawn(follow(following, leases, applied));
         tokio::spawn(follow_ended(Arc::downgrade(&quarantine), ended));
-        (quarantine, taken_in_at)
+        (quarantine, applied_at)
     }
 
     /// A request was lost while it may have been running at a back end.
-    pub(crate) fn note_lost(self: &Arc<Self>, back_end: &BackEnd, request: RequestDigest) {
-        if let Some(look) = self.crashes.note_lost(back_end, request) {
-            self.find_out(back_end, look);
+    pub(crate) fn record_lost_run(self: &Arc<Self>, back_end: &BackEnd, request: RequestDigest) {
+        if let Some(check) = self.crashes.record_lost_run(back_end, request) {
+            self.confirm_crash(back_end, check);
         }
     }
 
     /// A request was left to itself while it may have been running at a back end: its caller
     /// has gone, or no longer waits for this attempt.
-    pub(crate) fn note_left(&self, back_end: &BackEnd, request: RequestDigest) {
-        self.crashes.note_left(back_end, request);
+    pub(crate) fn record_abandoned_run(&self, back_end: &BackEnd, request: RequestDigest) {
+        self.crashes.record_abandoned_run(back_end, request);
     }
 
     /// A back end could not be reached; it may have crashed under a request that was left.
-    pub(crate) fn note_unreached(self: &Arc<Self>, back_end: &BackEnd) {
-        if let Some(look) = self.crashes.note_unreached(back_end) {
-            self.find_out(back_end, look);
+    pub(crate) fn record_unreached(self: &Arc<Self>, back_end: &BackEnd) {
+        if let Some(check) = self.crashes.record_unreached(back_end) {
+            self.confirm_crash(back_end, check);
         }
     }
 
     /// A back end has run a request and answered it.
-    pub(crate) fn note_answered(
+    pub(crate) fn record_answered_run(
         &self,
         service: &ServiceName,
         digest: impl FnOnce() -> RequestDigest,
     ) {
-        let judgement = self.judgement();
-        if judgement.is_empty(service) {
+        let assessment = self.assessment();
+        if assessment.is_empty(service) {
             return;
         }
         let digest = digest();
         // One crash speaks against nobody yet, and most requests that met one are not sent
         // again: a row for each answer would be written in vain.
-        let has_met_several = match judgement.standing(service, digest) {
-            Standing::Free => false,
-            Standing::Suspected { crashes } => *crashes > 1,
-            Standing::Held(_) => true,
+        let has_several_crashes = match assessment.status(service, digest) {
+            RequestStatus::Free => false,
+            RequestStatus::Suspected { crashes } => *crashes > 1,
+            RequestStatus::Quarantined(_) => true,
         };
-        if has_met_several {
+        if has_several_crashes {
             self.clear(Suspect {
                 service: service.clone(),
                 digest,
@@ -139,18 +141,20 @@
 
     /// Lets a request go, whatever has crashed under it so far; false if it is not held.
     pub(crate) fn release(&self, digest: RequestDigest) -> bool {
-        let judgement = self.judgement();
-        let held = judgement.held().map(|(suspect, _)| suspect);
-        let held: Vec<Suspect> = held.filter(|held| held.digest == digest).collect();
-        for suspect in &held {
+        let assessment = self.assessment();
+        let quarantined = assessment.quarantined().map(|(suspect, _)| suspect);
+        let quarantined: Vec<Suspect> = quarantined
+            .filter(|quarantined| quarantined.digest == digest)
+            .collect();
+        for suspect in &quarantined {
             self.clear(suspect.clone());
         }
-        !held.is_empty()
+        !quarantined.is_empty()
     }
 
     /// What is known now.
-    pub(crate) fn judgement(&self) -> Arc<Judgement> {
-        Arc::clone(&self.judgement.read().expect("not poisoned"))
+    pub(crate) fn assessment(&self) -> Arc<CrashAssessment> {
+        Arc::clone(&self.assessment.read().expect("not poisoned"))
     }
 
     fn clear(&self, suspect: Suspect) {
@@ -159,13 +163,13 @@
         };
         let clearance = Clearance { suspect, at_ms };
         let address = rows::clearance(&self.instance, self.next_row());
-        self.take_down(address, Entry::Cleared(clearance));
+        self.record_entry(address, Entry::Cleared(clearance));
     }
 
-    fn find_out(self: &Arc<Self>, back_end: &BackEnd, look: crash_watch::Look) {
+    fn confirm_crash(self: &Arc<Self>, back_end: &BackEnd, check: crash_watch::CrashCheck) {
         let (quarantine, back_end) = (Arc::clone(self), back_end.clone());
         tokio::spawn(async move {
-            if let Some(crash) = quarantine.crashes.find_out(&back_end, look).await {
+            if let Some(crash) = quarantine.crashes.confirm_crash(&back_end, check).await {
                 quarantine.report(&back_end, crash);
             }
         });
@@ -189,7 +193,7 @@
             requests: crash.requests,
         };
         let address = rows::crash_report(&self.instance, self.next_row());
-        self.take_down(address, Entry::Crashed(report));
+        self.record_entry(address, Entry::Crashed(report));
     }
 
     fn next_row(&self) -> u64 {
@@ -197,28 +201,28 @@
     }
 
     /// Counts an entry of this node at once, and has it written for the others.
-    fn take_down(&self, address: crate::table::RowAddress, entry: Entry) {
+    fn record_entry(&self, address: crate::table::RowAddress, entry: Entry) {
         let value = entry.value();
         {
-            let mut book = self.book.lock().expect("not poisoned");
-            book.add_own(address.key.clone(), entry);
-            self.judge(&book);
+            let mut registry = self.registry.lock().expect("not poisoned");
+            registry.add_unconfirmed(address.key.clone(), entry);
+            self.assess(&registry);
         }
         self.writer.write(address, value);
     }
 
-    fn take_view(&self) {
+    fn apply_view(&self) {
         let view = self.leases.borrow().clone();
-        let mut book = self.book.lock().expect("not poisoned");
-        if book.take_view(&view) {
-            self.judge(&book);
+        let mut registry = self.registry.lock().expect("not poisoned");
+        if registry.apply_view(&view) {
+            self.assess(&registry);
         }
     }
 
-    fn judge(&self, book: &Book) {
-        let next = Arc::new(book.judge(self.table.now_ms(), self.hold));
-        let mut current = self.judgement.write().expect("not poisoned");
-        tell_differences(&current, &next);
+    fn assess(&self, registry: &CrashRegistry) {
+        let next = Arc::new(registry.assess(self.table.now_ms(), self.retention));
+        let mut current = self.assessment.write().expect("not poisoned");
+        emit_changes(&current, &next);
         *current = next;
     }
 
@@ -241,15 +245,15 @@
 async fn follow(
     quarantine: std::sync::Weak<Quarantine>,
     mut leases: ViewReceiver,
-    taken_in: watch::Sender<Option<BootInstant>>,
+    applied: watch::Sender<Option<BootInstant>>,
 ) {
     while leases.changed().await.is_ok() {
         let requested_at = leases.borrow_and_update().requested_at;
         let Some(quarantine) = quarantine.upgrade() else {
             return;
         };
-        quarantine.take_view();
-        taken_in.send_replace(requested_at);
+        quarantine.apply_view();
+        applied.send_replace(requested_at);
     }
 }
 
@@ -264,26 +268,28 @@
         let Some(quarantine) = quarantine.upgrade() else {
             return;
         };
-        for (back_end, crash) in quarantine.crashes.take_ended() {
+        for (back_end, crash) in quarantine.crashes.take_ended_crashes() {
             quarantine.report(&back_end, crash);
         }
     }
 }
 
-fn tell_differences(before: &Judgement, after: &Judgement) {
-    let held_before: BTreeSet<Suspect> = before.held().map(|(suspect, _)| suspect).collect();
-    let held_after: BTreeSet<Suspect> = after.held().map(|(suspect, _)| suspect).collect();
-    for (suspect, held) in after.held() {
-        if !held_before.contains(&suspect) {
+fn emit_changes(before: &CrashAssessment, after: &CrashAssessment) {
+    let quarantined_before: BTreeSet<Suspect> =
+        before.quarantined().map(|(suspect, _)| suspect).collect();
+    let quarantined_after: BTreeSet<Suspect> =
+        after.quarantined().map(|(suspect, _)| suspect).collect();
+    for (suspect, quarantined) in after.quarantined() {
+        if !quarantined_before.contains(&suspect) {
             events::emit(&Event::RequestHeld {
                 digest: &suspect.digest.to_string(),
                 service: suspect.service.as_str(),
-                crashes: held.crashes,
-                clear: held.is_clear,
+                crashes: quarantined.crashes,
+                clear: quarantined.is_sole_suspect,
             });
         }
     }
-    for suspect in held_before.difference(&held_after) {
+    for suspect in quarantined_before.difference(&quarantined_after) {
         events::emit(&Event::RequestReleased {
             digest: &suspect.digest.to_string(),
             service: suspect.service.as_str(),
--- a/crates/sloetrail-serving/src/quarantine/operator.rs
+++ b/crates/sloetrail-serving/src/quarantine/operator.rs
@@ -9,11 +9,11 @@
 /// Where the requests are listed (GET), and each is released under its digest (DELETE).
 const PATH: &str = "/quarantine";
 /// Requests of one list.
-const LISTED_MOST: usize = 200;
+const MAX_LISTED: usize = 200;
 
 /// A request that is kept from the back ends of a service, as it is told.
 #[derive(Serialize)]
-struct HeldRequest {
+struct ListedRequest {
     digest: RequestDigest,
     service: String,
     crashes: usize,
@@ -41,18 +41,20 @@
 
     fn list(&self) -> CallerResponse {
         let now_ms = self.table.now_ms().unwrap_or_default();
-        let judgement = self.judgement();
-        let held = judgement.held().take(LISTED_MOST);
-        let held: Vec<HeldRequest> = held
-            .map(|(suspect, held)| HeldRequest {
+        let assessment = self.assessment();
+        let quarantined = assessment.quarantined().take(MAX_LISTED);
+        let quarantined: Vec<ListedRequest> = quarantined
+            .map(|(suspect, quarantined)| ListedRequest {
                 digest: suspect.digest,
                 service: suspect.service.to_string(),
-                crashes: held.crashes,
-                clear: held.is_clear,
-                software: held.software.iter().cloned().collect(),
-                since_last_ms: now_ms.saturating_sub(held.last_ms),
+                crashes: quarantined.crashes,
+                clear: quarantined.is_sole_suspect,
+                software: quarantined.software.iter().cloned().collect(),
+                since_last_ms: now_ms.saturating_sub(quarantined.last_crash_ms),
             })
             .collect();
-        Response::new(full_body(serde_json::to_vec(&held).unwrap_or_default()))
+        Response::new(full_body(
+            serde_json::to_vec(&quarantined).unwrap_or_default(),
+        ))
     }
 }
--- a/crates/sloetrail-serving/src/quarantine/permission.rs
+++ b/crates/sloetrail-serving/src/quarantine/permission.rs
@@ -4,7 +4,9 @@
 use crate::back_end::BackEnd;
 use crate::telemetry;
 use sloetrail_clock::BootInstant;
-use sloetrail_quarantine::{Held, RequestDigest, Standing, Suspect, TRIAL_PAUSE};
+use sloetrail_quarantine::{
+    QuarantinedRequest, RequestDigest, RequestStatus, Suspect, TRIAL_DELAY,
+};
 use sloetrail_result::{Problem, ResultCode};
 use sloetrail_types::ServiceName;
 use std::sync::Arc;
@@ -21,24 +23,24 @@
     /// It may be tried once, if no other request of the service is being tried.
     OnTrial,
     /// It is kept from back ends for so long.
-    Held {
+    Quarantined {
         /// Back ends that crashed under it.
         crashes: usize,
         /// How much longer.
-        left: Duration,
+        remaining: Duration,
     },
 }
 
 /// What lets a request go to back ends: the quarantine's word, asked anew at each send.
 #[derive(Clone)]
-pub(crate) struct Passage {
+pub(crate) struct QuarantinePermit {
     quarantine: Arc<Quarantine>,
     service: ServiceName,
     identity: Arc<RequestIdentity>,
     is_on_trial: bool,
 }
 
-impl Passage {
+impl QuarantinePermit {
     /// The passage of a request to the back ends of a service.
     pub(crate) fn new(
         quarantine: &Arc<Quarantine>,
@@ -63,12 +65,12 @@
         match self.permission() {
             Permission::Free | Permission::OneAtATime => true,
             Permission::OnTrial => self.is_on_trial,
-            Permission::Held { .. } => false,
+            Permission::Quarantined { .. } => false,
         }
     }
 
     /// True if the request may be at several back ends at the same time.
-    pub(crate) fn may_be_hedged(&self) -> bool {
+    pub(crate) fn allows_hedging(&self) -> bool {
         !self.is_on_trial && self.permission() == Permission::Free
     }
 
@@ -79,7 +81,7 @@
 
     /// Opens the passage of a request that may be tried, if no other request of its service is
     /// being tried; every other one stays as it is. A trial is over by `until`.
-    pub(crate) async fn ask_for_trial(&mut self, until: BootInstant) {
+    pub(crate) async fn acquire_trial(&mut self, until: BootInstant) {
         if self.permission() == Permission::OnTrial {
             let suspect = Suspect {
                 service: self.service.clone(),
@@ -91,11 +93,11 @@
 
     /// The refusal of a request whose passage is closed; nothing if it is open.
     pub(crate) fn refusal(&self) -> Option<Problem> {
-        let (crashes, left) = match self.permission() {
+        let (crashes, remaining) = match self.permission() {
             Permission::Free | Permission::OneAtATime => return None,
             Permission::OnTrial if self.is_on_trial => return None,
-            Permission::OnTrial => (None, TRIAL_PAUSE),
-            Permission::Held { crashes, left } => (Some(crashes), left),
+            Permission::OnTrial => (None, TRIAL_DELAY),
+            Permission::Quarantined { crashes, remaining } => (Some(crashes), remaining),
         };
         telemetry::request_kept_back(self.service.as_str());
         let digest = self.digest();
@@ -104,7 +106,7 @@
             None => format!("back ends have crashed under request {digest}; another is tried now"),
         };
         let problem = Problem::new(ResultCode::RequestQuarantined, detail);
-        Some(problem.with_retry_after_ms(left.as_millis() as u64))
+        Some(problem.with_retry_after_ms(remaining.as_millis() as u64))
     }
 
     /// Watches over the request while it may be running at a back end.
@@ -130,35 +132,42 @@
         service: &ServiceName,
         digest: impl FnOnce() -> RequestDigest,
     ) -> Permission {
-        let judgement = self.judgement();
-        if judgement.is_empty(service) {
+        let assessment = self.assessment();
+        if assessment.is_empty(service) {
             return Permission::Free;
         }
-        match judgement.standing(service, digest()) {
-            Standing::Free => Permission::Free,
-            Standing::Suspected { .. } => Permission::OneAtATime,
-            Standing::Held(held) => self.permission_of_held(service, held),
+        match assessment.status(service, digest()) {
+            RequestStatus::Free => Permission::Free,
+            RequestStatus::Suspected { .. } => Permission::OneAtATime,
+            RequestStatus::Quarantined(quarantined) => {
+                self.permission_of_quarantined(service, quarantined)
+            }
         }
     }
 
-    fn permission_of_held(&self, service: &ServiceName, held: &Held) -> Permission {
+    fn permission_of_quarantined(
+        &self,
+        service: &ServiceName,
+        quarantined: &QuarantinedRequest,
+    ) -> Permission {
         let now_ms = self.table.now_ms().unwrap_or_default();
-        let since_crash = Duration::from_millis(now_ms.saturating_sub(held.last_ms));
-        let left = self.hold.saturating_sub(since_crash);
-        if left.is_zero() {
+        let since_crash = Duration::from_millis(now_ms.saturating_sub(quarantined.last_crash_ms));
+        let remaining = self.retention.saturating_sub(since_crash);
+        if remaining.is_zero() {
             return Permission::OneAtATime;
         }
-        let pause_left = TRIAL_PAUSE.saturating_sub(since_crash);
-        let may_be_tried = !held.is_clear || self.runs_other_software(service, held);
-        match (may_be_tried, pause_left.is_zero()) {
+        let delay_remaining = TRIAL_DELAY.saturating_sub(since_crash);
+        let may_be_tried =
+            !quarantined.is_sole_suspect || self.runs_other_software(service, quarantined);
+        match (may_be_tried, delay_remaining.is_zero()) {
             (true, true) => Permission::OnTrial,
-            (true, false) => Permission::Held {
-                crashes: held.crashes,
-                left: pause_left,
+            (true, false) => Permission::Quarantined {
+                crashes: quarantined.crashes,
+                remaining: delay_remaining,
             },
-            (false, _) => Permission::Held {
-                crashes: held.crashes,
-                left,
+            (false, _) => Permission::Quarantined {
+                crashes: quarantined.crashes,
+                remaining,
             },
         }
     }
@@ -166,9 +175,9 @@
     /// True if every back end that takes work runs software that has not crashed under the
     /// request: the fault may be mended. Weights are no reason: there are new ones every few
     /// seconds to minutes, and each would cost a back end.
-    fn runs_other_software(&self, service: &ServiceName, held: &Held) -> bool {
+    fn runs_other_software(&self, service: &ServiceName, quarantined: &QuarantinedRequest) -> bool {
         let in_use = self.software_in_use(service);
-        let in_use = in_use.filter(|in_use| !in_use.is_empty() && !held.software.is_empty());
-        in_use.is_some_and(|in_use| in_use.is_disjoint(&held.software))
+        let in_use = in_use.filter(|in_use| !in_use.is_empty() && !quarantined.software.is_empty());
+        in_use.is_some_and(|in_use| in_use.is_disjoint(&quarantined.software))
     }
 }
--- a/crates/sloetrail-serving/src/quarantine/run_watch.rs
+++ b/crates/sloetrail-serving/src/quarantine/run_watch.rs
@@ -40,7 +40,7 @@
             AttemptResult::NotRun
             | AttemptResult::WrongInstance
             | AttemptResult::Withheld
-            | AttemptResult::TooLarge => self.not_lost(),
+            | AttemptResult::TooLarge => self.not_running(),
         }
     }
 
@@ -49,24 +49,24 @@
         self.is_over = true;
         let service = &self.back_end.service;
         self.quarantine
-            .note_answered(service, || self.identity.digest());
+            .record_answered_run(service, || self.identity.digest());
     }
 
     /// The connection broke.
     pub(crate) fn lost(mut self) {
         self.is_over = true;
         self.quarantine
-            .note_lost(&self.back_end, self.identity.digest());
+            .record_lost_run(&self.back_end, self.identity.digest());
     }
 
     /// The back end could not be reached.
     pub(crate) fn not_reached(mut self) {
         self.is_over = true;
-        self.quarantine.note_unreached(&self.back_end);
+        self.quarantine.record_unreached(&self.back_end);
     }
 
     /// The request does not run there, and says nothing of the back end.
-    pub(crate) fn not_lost(mut self) {
+    pub(crate) fn not_running(mut self) {
         self.is_over = true;
     }
 }
@@ -75,7 +75,7 @@
     fn drop(&mut self) {
         if !self.is_over {
             let digest = self.identity.digest();
-            self.quarantine.note_left(&self.back_end, digest);
+            self.quarantine.record_abandoned_run(&self.back_end, digest);
         }
     }
 }
--- a/crates/sloetrail-serving/src/quarantine/sweep.rs
+++ b/crates/sloetrail-serving/src/quarantine/sweep.rs
@@ -9,16 +9,15 @@
 
 /// Between two sweeps of a node. Nobody waits for them; they read nothing, and a larger fleet
 /// has more nodes that sweep.
-const PERIOD_LEAST: Duration = Duration::from_secs(20);
+const MIN_PERIOD: Duration = Duration::from_secs(20);
 const PERIOD_PER_BACK_END: Duration = Duration::from_millis(350);
-const PERIOD_MOST: Duration = Duration::from_secs(300);
+const MAX_PERIOD: Duration = Duration::from_secs(300);
 /// Rows of one transaction; each takes a condition and a deletion.
-const ROWS_AT_A_TIME: usize = 40;
+const MAX_ROWS_PER_TRANSACTION: usize = 40;
 
 /// Deletes rows that are past their time, now and then, for ever.
-pub(crate) async fn keep_swept(quarantine: Arc<Quarantine>, fleet: FleetSize) {
-    let period =
-        FleetScaledDuration::scaled(&fleet, PERIOD_LEAST, PERIOD_PER_BACK_END, PERIOD_MOST);
+pub(crate) async fn run_row_sweeper(quarantine: Arc<Quarantine>, fleet: FleetSize) {
+    let period = FleetScaledDuration::scaled(&fleet, MIN_PERIOD, PERIOD_PER_BACK_END, MAX_PERIOD);
     loop {
         // Nodes that started together do not sweep together.
         let share = 0.5 + 0.5 * rand::random::<f64>();
@@ -33,11 +32,11 @@
         let Some(now_ms) = self.table.now_ms().filter(|_| self.table.is_answering()) else {
             return;
         };
-        let outdated = {
-            let book = self.book.lock().expect("not poisoned");
-            book.outdated(now_ms, self.hold)
+        let expired_rows = {
+            let registry = self.registry.lock().expect("not poisoned");
+            registry.expired_rows(now_ms, self.retention)
         };
-        for rows in outdated.chunks(ROWS_AT_A_TIME) {
+        for rows in expired_rows.chunks(MAX_ROWS_PER_TRANSACTION) {
             let deletion = rows
                 .iter()
                 .fold(Transaction::new(), |deletion, (key, version)| {
--- a/crates/sloetrail-serving/src/quarantine/trial.rs
+++ b/crates/sloetrail-serving/src/quarantine/trial.rs
@@ -29,16 +29,16 @@
         };
         let address = rows::trial(&suspect.service);
         let known = self.leases.borrow().rows.get(&address.key).cloned();
-        let under_way = known
+        let current = known
             .as_ref()
             .and_then(|row| serde_json::from_slice::<StoredTrial>(&row.value).ok());
-        if under_way.is_some_and(|trial| now_ms < trial.until_ms) {
+        if current.is_some_and(|trial| now_ms < trial.until_ms) {
             return false;
         }
-        let left = until.saturating_duration_since(BootInstant::now());
+        let remaining = until.saturating_duration_since(BootInstant::now());
         let trial = StoredTrial {
             digest: suspect.digest,
-            until_ms: now_ms + left.as_millis() as u64,
+            until_ms: now_ms + remaining.as_millis() as u64,
         };
         let value = serde_json::to_vec(&trial).unwrap_or_default();
         let transaction = Transaction::new()
--- a/crates/sloetrail-serving/src/quarantine/writer.rs
+++ b/crates/sloetrail-serving/src/quarantine/writer.rs
@@ -9,15 +9,15 @@
 
 /// Rows that wait for the table. It is away for seconds, in which a node sees a few dozen
 /// crashes; of more the oldest are given up, and count at this node alone.
-const WAITING_MOST: usize = 512;
+const MAX_PENDING_ROWS: usize = 512;
 /// Rows of one transaction.
-const ROWS_AT_A_TIME: usize = 50;
+const MAX_ROWS_PER_TRANSACTION: usize = 50;
 
 /// Rows on their way into the table. Each is written once under its own key, so that a write
 /// that takes effect late changes nothing.
 #[derive(Default)]
 struct Queue {
-    waiting: Mutex<VecDeque<(RowAddress, Bytes)>>,
+    pending: Mutex<VecDeque<(RowAddress, Bytes)>>,
     added: Notify,
 }
 
@@ -40,12 +40,12 @@
 
     /// Has a row written.
     pub(super) fn write(&self, address: RowAddress, value: Bytes) {
-        let mut waiting = self.0.waiting.lock().expect("not poisoned");
-        waiting.push_back((address, value));
-        if waiting.len() > WAITING_MOST {
-            waiting.pop_front();
+        let mut pending = self.0.pending.lock().expect("not poisoned");
+        pending.push_back((address, value));
+        if pending.len() > MAX_PENDING_ROWS {
+            pending.pop_front();
         }
-        drop(waiting);
+        drop(pending);
         self.0.added.notify_one();
     }
 }
@@ -53,7 +53,7 @@
 async fn write_all(table: &dyn Table, queue: &Queue) {
     let mut retry = RetryPause::new();
     loop {
-        let rows = queue.first();
+        let rows = queue.next_rows();
         if rows.is_empty() {
             return;
         }
@@ -63,7 +63,7 @@
         });
         match table.commit(&transaction).await {
             Ok(Commit::Done(_)) => {
-                queue.written(&rows);
+                queue.remove(&rows);
                 retry.reset();
             }
             // Without conditions there is no conflict.
@@ -73,13 +73,17 @@
 }
 
 impl Queue {
-    fn first(&self) -> Vec<(RowAddress, Bytes)> {
-        let waiting = self.waiting.lock().expect("not poisoned");
-        waiting.iter().take(ROWS_AT_A_TIME).cloned().collect()
+    fn next_rows(&self) -> Vec<(RowAddress, Bytes)> {
+        let pending = self.pending.lock().expect("not poisoned");
+        pending
+            .iter()
+            .take(MAX_ROWS_PER_TRANSACTION)
+            .cloned()
+            .collect()
     }
 
-    fn written(&self, rows: &[(RowAddress, Bytes)]) {
-        let mut waiting = self.waiting.lock().expect("not poisoned");
-        waiting.retain(|(address, _)| rows.iter().all(|(written, _)| written != address));
+    fn remove(&self, rows: &[(RowAddress, Bytes)]) {
+        let mut pending = self.pending.lock().expect("not poisoned");
+        pending.retain(|(address, _)| rows.iter().all(|(written, _)| written != address));
     }
 }
--- a/crates/sloetrail-serving/src/service_pools.rs
+++ b/crates/sloetrail-serving/src/service_pools.rs
@@ -11,7 +11,7 @@
 use crate::relay::peers::Peers;
 use crate::settings::ServingSettings;
 use crate::subset_demand::SubsetDemand;
-use crate::zone_work::{RunningInZone, WorkKind, ZoneWork};
+use crate::zone_work::{WorkKind, ZoneWork, ZoneWorkGuard};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use sloetrail_balance::{AttemptOutcome, LatencyQuantile, WorkClass, WorkTenant};
@@ -297,7 +297,7 @@
     tenant: WorkTenant,
     directory_version: RowVersion,
     is_ended: bool,
-    _running: RunningInZone,
+    _running: ZoneWorkGuard,
 }
 
 impl SlotPermit {
--- a/crates/sloetrail-serving/src/suspension_tests.rs
+++ b/crates/sloetrail-serving/src/suspension_tests.rs
@@ -63,8 +63,8 @@
 fn an_evacuation_was_withdrawn_so_much_longer_ago() {
     let zone = ZoneName::from("zone-a");
     let mut evacuations = Evacuations::default();
-    evacuations.take(BTreeSet::from([zone.clone()]));
-    evacuations.take(BTreeSet::new());
+    evacuations.replace(BTreeSet::from([zone.clone()]));
+    evacuations.replace(BTreeSet::new());
     suspend_thread(SUSPENDED);
     let withdrawn_at = evacuations.withdrawn_at(&zone).expect("it was withdrawn");
     assert!(withdrawn_at.elapsed() >= SUSPENDED);
--- a/crates/sloetrail-serving/src/zone_work.rs
+++ b/crates/sloetrail-serving/src/zone_work.rs
@@ -1,10 +1,10 @@
 //! What this node has running at back ends, by zone, and when the last of it ended in a zone
 //! that is evacuated.
 
-mod book;
+mod tracker;
 
-use self::book::{Settled, ZoneBook};
-pub(crate) use self::book::{WorkKind, ZoneCounts};
+use self::tracker::{DrainedZone, ZoneWorkTracker};
+pub(crate) use self::tracker::{WorkKind, ZoneCounts};
 use crate::events::{self, Event};
 use crate::operator::InForce;
 use sloetrail_clock::BootInstant;
@@ -15,7 +15,7 @@
 /// Counts what runs, and tells once an evacuated zone has nothing left.
 #[derive(Debug, Default)]
 pub(crate) struct ZoneWork {
-    book: Mutex<ZoneBook>,
+    tracker: Mutex<ZoneWorkTracker>,
 }
 
 impl ZoneWork {
@@ -30,17 +30,17 @@
                 };
                 let evacuations = Arc::clone(&in_force.borrow_and_update().evacuations);
                 let now = BootInstant::now();
-                let settled = work.book().take_evacuated(evacuations.zones(), now);
-                settled.iter().for_each(tell);
+                let drained = work.tracker().set_evacuated(evacuations.zones(), now);
+                drained.iter().for_each(emit_drained);
             }
         });
         work
     }
 
     /// Something begins to run at a back end of a zone; it runs until this is dropped.
-    pub(crate) fn begin(self: &Arc<Self>, zone: &ZoneName, kind: WorkKind) -> RunningInZone {
-        self.book().begin(zone, kind);
-        RunningInZone {
+    pub(crate) fn begin(self: &Arc<Self>, zone: &ZoneName, kind: WorkKind) -> ZoneWorkGuard {
+        self.tracker().begin(zone, kind);
+        ZoneWorkGuard {
             work: Arc::clone(self),
             zone: zone.clone(),
             kind,
@@ -48,36 +48,36 @@
     }
 
     /// The zones that are evacuated now, or were in this life of the node.
-    pub(crate) fn evacuated(&self) -> Vec<(ZoneName, ZoneCounts)> {
-        self.book().evacuated(BootInstant::now())
+    pub(crate) fn evacuated_zones(&self) -> Vec<(ZoneName, ZoneCounts)> {
+        self.tracker().evacuated_zones(BootInstant::now())
     }
 
-    fn book(&self) -> MutexGuard<'_, ZoneBook> {
-        self.book.lock().expect("not poisoned")
+    fn tracker(&self) -> MutexGuard<'_, ZoneWorkTracker> {
+        self.tracker.lock().expect("not poisoned")
     }
 }
 
 /// Something that runs at a back end of a zone.
 #[derive(Debug)]
-pub(crate) struct RunningInZone {
+pub(crate) struct ZoneWorkGuard {
     work: Arc<ZoneWork>,
     zone: ZoneName,
     kind: WorkKind,
 }
 
-impl Drop for RunningInZone {
+impl Drop for ZoneWorkGuard {
     fn drop(&mut self) {
-        let settled = self
+        let drained = self
             .work
-            .book()
+            .tracker()
             .end(&self.zone, self.kind, BootInstant::now());
-        settled.iter().for_each(tell);
+        drained.iter().for_each(emit_drained);
     }
 }
 
-fn tell(settled: &Settled) {
+fn emit_drained(drained: &DrainedZone) {
     events::emit(&Event::EvacuationSettled {
-        zone: settled.zone.as_str(),
-        after_ms: settled.after.as_millis() as u64,
+        zone: drained.zone.as_str(),
+        after_ms: drained.after.as_millis() as u64,
     });
 }
--- a/crates/sloetrail-serving/src/zone_work/book.rs
+++ b/crates/sloetrail-serving/src/zone_work/tracker.rs
@@ -27,7 +27,7 @@
 
 /// Nothing that this node sent to an evacuated zone runs there any more.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Settled {
+pub(super) struct DrainedZone {
     pub(super) zone: ZoneName,
     /// How long after the evacuation was in force here.
     pub(super) after: Duration,
@@ -40,8 +40,8 @@
     evacuated_since: Option<BootInstant>,
     /// It was told that nothing runs there any more since it was evacuated. What begins
     /// after that is held back before it is sent.
-    is_settled: bool,
-    has_been_evacuated: bool,
+    is_drained: bool,
+    was_evacuated: bool,
 }
 
 impl ZoneState {
@@ -53,14 +53,14 @@
     }
 
     /// What is to be told if the zone is evacuated and the last has just ended there.
-    fn settle(&mut self, zone: &ZoneName, now: BootInstant) -> Option<Settled> {
+    fn check_drained(&mut self, zone: &ZoneName, now: BootInstant) -> Option<DrainedZone> {
         let since = self.evacuated_since?;
         let is_empty = self.live == 0 && self.items == 0;
-        if self.is_settled || !is_empty {
+        if self.is_drained || !is_empty {
             return None;
         }
-        self.is_settled = true;
-        Some(Settled {
+        self.is_drained = true;
+        Some(DrainedZone {
             zone: zone.clone(),
             after: now.saturating_duration_since(since),
         })
@@ -69,11 +69,11 @@
 
 /// What runs by zone, and which zones are evacuated.
 #[derive(Debug, Default)]
-pub(super) struct ZoneBook {
+pub(super) struct ZoneWorkTracker {
     zones: BTreeMap<ZoneName, ZoneState>,
 }
 
-impl ZoneBook {
+impl ZoneWorkTracker {
     /// Something begins to run.
     pub(super) fn begin(&mut self, zone: &ZoneName, kind: WorkKind) {
         match self.zones.get_mut(zone) {
@@ -91,43 +91,43 @@
         zone: &ZoneName,
         kind: WorkKind,
         now: BootInstant,
-    ) -> Option<Settled> {
+    ) -> Option<DrainedZone> {
         let state = self.zones.get_mut(zone)?;
         let count = state.count(kind);
         *count = count.saturating_sub(1);
-        state.settle(zone, now)
+        state.check_drained(zone, now)
     }
 
     /// Takes in which zones are evacuated; those of the new ones in which nothing runs.
-    pub(super) fn take_evacuated<'a>(
+    pub(super) fn set_evacuated<'a>(
         &mut self,
-        evacuated: impl Iterator<Item = &'a ZoneName>,
+        evacuated_zones: impl Iterator<Item = &'a ZoneName>,
         now: BootInstant,
-    ) -> Vec<Settled> {
-        let evacuated: BTreeSet<&ZoneName> = evacuated.collect();
+    ) -> Vec<DrainedZone> {
+        let evacuated_zones: BTreeSet<&ZoneName> = evacuated_zones.collect();
         for (zone, state) in &mut self.zones {
-            if !evacuated.contains(zone) {
+            if !evacuated_zones.contains(zone) {
                 state.evacuated_since = None;
             }
         }
-        let mut settled = Vec::new();
-        for zone in evacuated {
+        let mut drained = Vec::new();
+        for zone in evacuated_zones {
             let state = self.zones.entry(zone.clone()).or_default();
             if state.evacuated_since.is_some() {
                 continue;
             }
             state.evacuated_since = Some(now);
-            state.is_settled = false;
-            state.has_been_evacuated = true;
-            settled.extend(state.settle(zone, now));
+            state.is_drained = false;
+            state.was_evacuated = true;
+            drained.extend(state.check_drained(zone, now));
         }
-        settled
+        drained
     }
 
     /// The zones that are evacuated now, or were before.
-    pub(super) fn evacuated(&self, now: BootInstant) -> Vec<(ZoneName, ZoneCounts)> {
+    pub(super) fn evacuated_zones(&self, now: BootInstant) -> Vec<(ZoneName, ZoneCounts)> {
         let known = self.zones.iter();
-        let evacuated = known.filter(|(_, state)| state.has_been_evacuated);
+        let evacuated_zones = known.filter(|(_, state)| state.was_evacuated);
         let counts = |state: &ZoneState| ZoneCounts {
             live: state.live,
             items: state.items,
@@ -135,7 +135,7 @@
                 .evacuated_since
                 .map(|since| now.saturating_duration_since(since)),
         };
-        evacuated
+        evacuated_zones
             .map(|(zone, state)| (zone.clone(), counts(state)))
             .collect()
     }
--- a/crates/sloetrail-serving/tests/crash_log.rs
+++ b/crates/sloetrail-serving/tests/crash_log.rs
@@ -15,7 +15,7 @@
 
 const BODY: &str = "a reading that nobody else may see";
 
-async fn ask(cluster: &Cluster, id: &str, body: &str) -> u16 {
+async fn send_request(cluster: &Cluster, id: &str, body: &str) -> u16 {
     let names = cluster.names();
     let call = Call::new(Method::POST, HOST, "/once/reading")
         .header(&names.request_id, id)
@@ -39,7 +39,7 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         application.reset_connections();
     };
-    let (status, ()) = tokio::join!(ask(&cluster, "r1", BODY), resetting);
+    let (status, ()) = tokio::join!(send_request(&cluster, "r1", BODY), resetting);
     assert_eq!(status, 502, "it was lost, and may have run");
     let lost = || async { reader.told("attempt_failed").pop() };
     let first = eventually("the loss is told", lost).await;
@@ -52,8 +52,8 @@
         application.crash();
     };
     let (status, other, ()) = tokio::join!(
-        ask(&cluster, "r2", BODY),
-        ask(&cluster, "r3", "another"),
+        send_request(&cluster, "r2", BODY),
+        send_request(&cluster, "r3", "another"),
         crashing
     );
     assert_eq!((status, other), (502, 502));
--- a/crates/sloetrail-serving/tests/crashing_items.rs
+++ b/crates/sloetrail-serving/tests/crashing_items.rs
@@ -12,7 +12,7 @@
 const PACE: Duration = Duration::from_millis(5);
 const LETHAL_EVENTS: u64 = 13;
 /// Engines that one item may end: after the third it is kept from others.
-const CRASHES_MOST: usize = 3;
+const MAX_CRASHES: usize = 3;
 
 async fn add_engine(cluster: &mut Cluster) {
     let engine = cluster.add_engine(PACE).await;
@@ -32,13 +32,13 @@
     cluster
 }
 
-fn crashed(cluster: &Cluster) -> usize {
+fn crash_count(cluster: &Cluster) -> usize {
     let engines = cluster.engines.iter();
     engines.filter(|engine| engine.has_crashed()).count()
 }
 
 /// Replaces what has crashed for a while.
-async fn keep_replaced(cluster: &mut Cluster, replaced: &mut usize, time: Duration) {
+async fn replace_crashed_for(cluster: &mut Cluster, replaced: &mut usize, time: Duration) {
     let until = tokio::time::Instant::now() + time;
     while tokio::time::Instant::now() < until {
         let ended = cluster.engines.iter().filter(|engine| engine.has_crashed());
@@ -72,13 +72,13 @@
     let mut cluster = fragile_cluster().await;
     accepted(&cluster, 0, "b1", &with_a_lethal_item()).await;
     let mut replaced = 0;
-    keep_replaced(&mut cluster, &mut replaced, Duration::from_secs(3)).await;
+    replace_crashed_for(&mut cluster, &mut replaced, Duration::from_secs(3)).await;
     let results = cluster.wait_results(0, "b1", 6).await;
     assert!(results.iter().all(|result| result["id"] != "lethal"));
     assert_eq!(results.len(), 6, "the lethal item is not given up either");
-    keep_replaced(&mut cluster, &mut replaced, Duration::from_secs(3)).await;
-    let ended = crashed(&cluster);
-    assert!((1..=CRASHES_MOST + 1).contains(&ended), "{ended}");
+    replace_crashed_for(&mut cluster, &mut replaced, Duration::from_secs(3)).await;
+    let ended = crash_count(&cluster);
+    assert!((1..=MAX_CRASHES + 1).contains(&ended), "{ended}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -86,9 +86,9 @@
     let mut cluster = fragile_cluster().await;
     accepted(&cluster, 0, "b1", &with_a_lethal_item()).await;
     let mut replaced = 0;
-    keep_replaced(&mut cluster, &mut replaced, Duration::from_secs(3)).await;
+    replace_crashed_for(&mut cluster, &mut replaced, Duration::from_secs(3)).await;
     cluster.wait_results(0, "b1", 6).await;
-    let ended = crashed(&cluster);
+    let ended = crash_count(&cluster);
     for _ in 0..2 {
         let owner = lease_holder(&cluster).await;
         if cluster.nodes[owner].has_ended() {
@@ -102,9 +102,9 @@
             others.contains(&next).then_some(())
         };
         eventually("another node owns the service", taken).await;
-        keep_replaced(&mut cluster, &mut replaced, Duration::from_secs(2)).await;
+        replace_crashed_for(&mut cluster, &mut replaced, Duration::from_secs(2)).await;
     }
-    assert_eq!(crashed(&cluster), ended, "a new owner sent it again");
+    assert_eq!(crash_count(&cluster), ended, "a new owner sent it again");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -132,11 +132,11 @@
     ];
     accepted(&cluster, 0, "b1", &batch(&items, MODEL, 1)).await;
     let mut replaced = 0;
-    keep_replaced(&mut cluster, &mut replaced, Duration::from_secs(5)).await;
+    replace_crashed_for(&mut cluster, &mut replaced, Duration::from_secs(5)).await;
     let results = cluster.wait_results(1, "b1", 2).await;
     assert!(results.iter().all(|result| result["id"] != "i0"));
-    let ended = crashed(&cluster);
-    keep_replaced(&mut cluster, &mut replaced, Duration::from_secs(3)).await;
-    assert_eq!(crashed(&cluster), ended, "it goes on ending back ends");
-    assert!((1..=CRASHES_MOST + 2).contains(&ended), "{ended}");
+    let ended = crash_count(&cluster);
+    replace_crashed_for(&mut cluster, &mut replaced, Duration::from_secs(3)).await;
+    assert_eq!(crash_count(&cluster), ended, "it goes on ending back ends");
+    assert!((1..=MAX_CRASHES + 2).contains(&ended), "{ended}");
 }
--- a/crates/sloetrail-serving/tests/evacuation.rs
+++ b/crates/sloetrail-serving/tests/evacuation.rs
@@ -19,9 +19,9 @@
 const OWN: &str = "zone-a";
 const OTHER: &str = "zone-b";
 /// Time for the nodes to hear of an evacuation, which takes a few milliseconds.
-const HEARD: Duration = Duration::from_millis(300);
+const PROPAGATION_TIME: Duration = Duration::from_millis(300);
 /// What is refused at once is answered within this time.
-const AT_ONCE: Duration = Duration::from_millis(100);
+const MAX_REFUSAL_TIME: Duration = Duration::from_millis(100);
 
 /// Back ends of one zone.
 struct Zone {
@@ -83,7 +83,7 @@
         "the own zone goes first"
     );
     cluster.evacuate(OWN);
-    tokio::time::sleep(HEARD).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     let before = own.arrivals();
     submit_items(&cluster, 0, "b2", 10, 5).await;
     for number in 0..20 {
@@ -144,16 +144,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn work_returns_after_the_withdrawal_no_faster_than_cold_back_ends_bear() {
     const COLD: Duration = Duration::from_millis(2_000);
-    const BEARS: usize = 4;
+    const MAX_COLD_RATE: usize = 4;
     let mut cluster = native_cluster();
-    cluster.cold = Some((COLD.as_secs_f64(), BEARS as f64));
+    cluster.cold = Some((COLD.as_secs_f64(), MAX_COLD_RATE as f64));
     // Warm engines get the most less what a second owner may send: 28 a second.
     cluster.cold_tolerance = tolerance(1.0, 28.0);
     cluster.configure(usual_routes());
     let own = Zone::start(&mut cluster, OWN, Duration::from_millis(2)).await;
     add_nodes(&mut cluster, 1).await;
     cluster.evacuate(OWN);
-    tokio::time::sleep(HEARD).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     submit_items(&cluster, 0, "b1", 60, 2).await;
     assert_eq!(own.arrivals(), 0);
     let withdrawn_at = Instant::now();
@@ -169,14 +169,17 @@
         let while_cold = arrivals.into_iter().filter(|at| *at - withdrawn_at < COLD);
         let while_cold: Vec<Instant> = while_cold.collect();
         assert!(
-            while_cold.len() > BEARS,
+            while_cold.len() > MAX_COLD_RATE,
             "work returns: {}",
             while_cold.len()
         );
         let most = most_in_a_second(while_cold);
-        assert!(most <= BEARS, "{most} of {BEARS} a second");
+        assert!(most <= MAX_COLD_RATE, "{most} of {MAX_COLD_RATE} a second");
     }
-    assert!(answered > BEARS, "{answered} live requests were served");
+    assert!(
+        answered > MAX_COLD_RATE,
+        "{answered} live requests were served"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -184,18 +187,18 @@
     let (cluster, own, other) = cluster_of_two_zones(1, Duration::from_millis(5)).await;
     cluster.evacuate(OWN);
     cluster.evacuate(OTHER);
-    tokio::time::sleep(HEARD).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     for path in ["/live/x", "/once/x", "/events/x"] {
         let watch = Stopwatch::start();
         let answer = live(&cluster, 0, path, "r1").await.expect("an answer");
         let took = watch.elapsed();
-        assert!(took < AT_ONCE, "{path}: {took:?}");
+        assert!(took < MAX_REFUSAL_TIME, "{path}: {took:?}");
         assert_eq!(answer.status, 503, "{path}");
         assert_eq!(answer.json()["code"], 1101, "{path}");
         assert!(answer.headers.contains_key("retry-after"), "{path}");
     }
     submit_items(&cluster, 0, "b1", 10, 5).await;
-    tokio::time::sleep(HEARD).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     assert_eq!(own.arrivals() + other.arrivals(), 0, "nothing has run");
     cluster.withdraw_evacuation(OTHER);
     assert_each_once(&cluster.wait_results(0, "b1", 10).await, 10);
@@ -212,7 +215,7 @@
     submit_items(&cluster, left, "b1", 40, 40).await;
     wait_running(&own.engine, 8).await;
     cluster.evacuate(OWN);
-    tokio::time::sleep(HEARD).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     let before = own.arrivals();
     cluster.table.set_down(true);
     cluster.nodes[owner].kill();
@@ -234,10 +237,10 @@
 async fn a_withdrawal_that_nobody_could_hear_is_in_force_once_the_table_is_back() {
     let (cluster, own, _other) = cluster_of_two_zones(1, Duration::from_millis(5)).await;
     cluster.evacuate(OWN);
-    tokio::time::sleep(HEARD).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     cluster.table.set_down(true);
     cluster.withdraw_evacuation(OWN);
-    tokio::time::sleep(HEARD).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     live(&cluster, 0, "/live/x", "r1").await.expect("an answer");
     assert_eq!(own.arrivals(), 0, "the last state known holds");
     cluster.table.forget_history();
@@ -253,12 +256,12 @@
 async fn a_node_that_was_frozen_over_the_evacuation_sends_nothing_there_on_waking() {
     const FROZEN: Duration = Duration::from_millis(1_500);
     /// Three rounds of 0.4 s on an idle machine.
-    const DONE: Duration = Duration::from_millis(6_000);
+    const MAX_COMPLETION_TIME: Duration = Duration::from_millis(6_000);
     let (cluster, own, other) = cluster_of_two_zones(1, Duration::from_millis(20)).await;
     submit_items(&cluster, 0, "b1", 40, 20).await;
     wait_running(&own.engine, 8).await;
     cluster.nodes[0].freeze(FROZEN);
-    tokio::time::sleep(HEARD).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     let before = own.arrivals();
     cluster.evacuate(OWN);
     let calls = (0..5).map(|_| live(&cluster, 0, "/live/x", "r"));
@@ -267,7 +270,10 @@
     let watch = Stopwatch::start();
     assert_each_once(&cluster.wait_results(0, "b1", 40).await, 40);
     let took = watch.elapsed();
-    assert!(took < DONE, "24 items at eight places took {took:?}");
+    assert!(
+        took < MAX_COMPLETION_TIME,
+        "24 items at eight places took {took:?}"
+    );
     assert_eq!(own.arrivals(), before, "nothing further is sent there");
     assert!(other.arrivals() > 0);
 }
@@ -280,7 +286,7 @@
     fault: EngineFault,
 ) -> usize {
     const FROZEN: Duration = Duration::from_millis(1_500);
-    const STANDS_STILL: Duration = Duration::from_millis(100);
+    const FREEZE_START: Duration = Duration::from_millis(100);
     let (cluster, own, other) = cluster_of_two_zones(1, Duration::from_millis(5)).await;
     own.application.set_fault(fault, None);
     let names = cluster.names();
@@ -292,7 +298,7 @@
         let has_come = || async { (!own.application.arrivals().is_empty()).then_some(()) };
         eventually("the request has come", has_come).await;
         cluster.nodes[0].freeze(FROZEN);
-        tokio::time::sleep(STANDS_STILL).await;
+        tokio::time::sleep(FREEZE_START).await;
         cluster.evacuate(OTHER);
     };
     tokio::join!(asking.send(cluster.nodes[0].callers), freezing);
--- a/crates/sloetrail-serving/tests/support/fragile.rs
+++ b/crates/sloetrail-serving/tests/support/fragile.rs
@@ -12,7 +12,7 @@
 pub const LETHAL: &str = "a reading that ends its server";
 /// Back ends that one request may end: after the third its repeats are kept from further ones,
 /// and an attempt may be on its way when the third ends.
-pub const CRASHES_MOST: usize = 4;
+pub const MAX_CRASHES: usize = 4;
 
 /// A cluster whose applications crash under one request.
 pub struct FragileCluster {
@@ -26,11 +26,11 @@
 impl FragileCluster {
     /// So many nodes and four applications.
     pub async fn start(nodes: usize) -> Self {
-        Self::around(native_cluster(), nodes).await
+        Self::with_cluster(native_cluster(), nodes).await
     }
 
     /// The same with a cluster that was made before.
-    pub async fn around(cluster: Cluster, nodes: usize) -> Self {
+    pub async fn with_cluster(cluster: Cluster, nodes: usize) -> Self {
         let mut fragile = Self {
             cluster,
             software: "v1",
@@ -60,13 +60,13 @@
     }
 
     /// Sends a request to a node.
-    pub async fn ask(&self, node: usize, path: &str, id: &str, body: &str) -> Answer {
-        let answer = self.sending(node, path, id, body).await;
+    pub async fn send_request(&self, node: usize, path: &str, id: &str, body: &str) -> Answer {
+        let answer = self.start_request(node, path, id, body).await;
         answer.expect("an answer")
     }
 
     /// The sending of a request to a node; nothing if no answer comes.
-    pub fn sending(
+    pub fn start_request(
         &self,
         node: usize,
         path: &str,
@@ -84,33 +84,33 @@
 
     /// Sends the lethal request to the nodes in turn, and replaces what crashes, until it has
     /// ended three back ends.
-    pub async fn end_three(&mut self, path: &str) {
+    pub async fn crash_three(&mut self, path: &str) {
         let nodes = self.cluster.nodes.len();
         for number in 0..6 {
-            if self.crashed() >= 3 {
+            if self.crash_count() >= 3 {
                 return;
             }
             let id = format!("first-{number}");
-            self.ask(number % nodes, path, &id, LETHAL).await;
+            self.send_request(number % nodes, path, &id, LETHAL).await;
             self.replace_crashed().await;
         }
-        panic!("{} back ends have crashed", self.crashed());
+        panic!("{} back ends have crashed", self.crash_count());
     }
 
     /// The applications that have crashed.
-    pub fn crashed(&self) -> usize {
-        self.crashed_ones().len()
+    pub fn crash_count(&self) -> usize {
+        self.crashed_applications().len()
     }
 
-    fn crashed_ones(&self) -> Vec<Arc<EngineStandIn>> {
+    fn crashed_applications(&self) -> Vec<Arc<EngineStandIn>> {
         let engines = self.cluster.engines.iter();
-        let crashed = engines.filter(|engine| engine.has_crashed());
-        crashed.cloned().collect()
+        let crash_count = engines.filter(|engine| engine.has_crashed());
+        crash_count.cloned().collect()
     }
 
     /// Takes the applications that have crashed off the directory.
     pub fn unlist_crashed(&self) {
-        for application in self.crashed_ones() {
+        for application in self.crashed_applications() {
             self.cluster.unlist(&application);
         }
     }
@@ -118,16 +118,16 @@
     /// Replaces the applications that have crashed, and waits until each node is served again.
     pub async fn replace_crashed(&mut self) {
         self.unlist_crashed();
-        let crashed = self.crashed();
-        for _ in self.replaced..crashed {
+        let crash_count = self.crash_count();
+        for _ in self.replaced..crash_count {
             self.add_application().await;
         }
-        self.replaced = crashed;
+        self.replaced = crash_count;
         self.wait_served().await;
     }
 
     /// Replaces every application by one of other software.
-    pub async fn release_software(&mut self, software: &'static str) {
+    pub async fn replace_software(&mut self, software: &'static str) {
         self.software = software;
         for engine in self.cluster.engines.clone() {
             self.cluster.unlist(&engine);
@@ -142,7 +142,9 @@
     pub async fn wait_served(&self) {
         for node in 0..self.cluster.nodes.len() {
             let is_served = || async {
-                let answer = self.ask(node, "/live/x", "sound", "another reading").await;
+                let answer = self
+                    .send_request(node, "/live/x", "sound", "another reading")
+                    .await;
                 (answer.status == 200).then_some(())
             };
             eventually("other requests are served", is_served).await;
@@ -156,17 +158,17 @@
     }
 
     /// Waits until the node refuses the lethal request without sending it on.
-    pub async fn wait_held(&self, node: usize, path: &str) {
-        let is_held = || async {
-            let answer = self.ask(node, path, "asked", LETHAL).await;
-            (answer.json()["code"] == HELD).then_some(())
+    pub async fn wait_quarantined(&self, node: usize, path: &str) {
+        let is_quarantined = || async {
+            let answer = self.send_request(node, path, "asked", LETHAL).await;
+            (answer.json()["code"] == REQUEST_QUARANTINED).then_some(())
         };
-        eventually("the request is held", is_held).await;
+        eventually("the request is held", is_quarantined).await;
     }
 }
 
 /// The code of a request that is kept from back ends.
-pub const HELD: u16 = 1111;
+pub const REQUEST_QUARANTINED: u16 = 1111;
 
 /// How long news of a crash may take from one node to the others where nothing is slow.
-pub const NEWS_TIME: Duration = Duration::from_millis(500);
+pub const REPORT_PROPAGATION_TIME: Duration = Duration::from_millis(500);
