--- a/crates/sloetrail-quarantine/src/assessment.rs
+++ b/crates/sloetrail-quarantine/src/assessment.rs
@@ -1,75 +1,66 @@
-//! What all reports of crashes together say of each request.
+//! Assessment of requests by the crash reports of all nodes.
 //!
-//! A back end that crashes takes every request with it that it was running, and all but one of
-//! them, or all, are innocent. Two things tell them apart. A request that ends each back end
-//! is never answered, so an answer clears it. And of the requests under which back ends
-//! crashed, the one with the most crashes explains these, and the others that were there are
-//! not counted by them any more. Where two explain them equally well, each is tried once, at
-//! a time when no other is.
+//! A crash takes down every request that the back end was running, and at most one of them caused
+//! it. Two rules find the cause. An answered request is cleared, since a request that crashes its
+//! back ends is never answered. Of the remaining requests, the one with the most crashes explains
+//! these crashes, and they no longer count against the others. If several requests explain them
+//! equally well, each is tried once, while no other one is being tried.
 
 use crate::{Clearance, CrashReport, RequestDigest, Suspect};
 use sloetrail_types::{EngineId, ServiceName};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Back ends that have to crash under a request before it is kept from others. One is lost to
-/// any fault, and a request that is sent on meets a second one where a group of back ends is
-/// lost. With three, 1,000 drawn fleets of which a hundredth crashes each second for no
-/// request hold none of 300,000 innocent requests; of which a tenth does, a few, each without
-/// an attempt left (tests `fleets`).
+/// Crashed back ends from which a request is quarantined. Fewer would quarantine innocent
+/// requests: a request that is resent may meet a second unrelated crash.
 pub const MIN_CRASHES_TO_QUARANTINE: usize = 3;
 
-/// How long after the last crash a request may be tried whose part in it is not clear: back
-/// ends are back after seconds, and what was under way there is over.
+/// Delay between the last crash and the trial of a request that may have caused it. Crashed back
+/// ends restart within it, and their other requests have ended.
 pub const TRIAL_DELAY: Duration = Duration::from_secs(2);
 
-/// What is known of a request that is kept from back ends.
+/// The crashes of a quarantined request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuarantinedRequest {
-    /// Back ends that crashed under it.
     pub crashes: usize,
-    /// The versions of the software that crashed, as far as they are known.
+    /// The software versions that crashed, as far as the back ends reported them.
     pub software: BTreeSet<String>,
-    /// When the last of them crashed, in milliseconds of the table's clock.
+    /// When the last back end crashed, in milliseconds of the table's clock.
     pub last_crash_ms: u64,
-    /// True if no other request explains the crashes as well.
+    /// True if no other request explains the crashes equally well.
     pub is_sole_suspect: bool,
 }
 
-/// How a request stands at a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestStatus {
-    /// Nothing speaks against it.
+    /// No crash counts against it.
     Free,
-    /// So many back ends have crashed under it, but too few, or another request explains them.
-    Suspected {
-        /// Back ends that crashed under it.
-        crashes: usize,
-    },
-    /// It is kept from back ends.
+    /// Back ends crashed under it, but too few, or another request explains the crashes.
+    Suspected { crashes: usize },
+    /// It must not be sent to back ends.
     Quarantined(QuarantinedRequest),
 }
 
-/// How the requests stand under which back ends crashed.
+/// The status of each request under which back ends crashed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CrashAssessment {
     statuses: BTreeMap<ServiceName, BTreeMap<RequestDigest, RequestStatus>>,
 }
 
 impl CrashAssessment {
-    /// True if nothing speaks against any request at a service: its digest need not be known.
+    /// True if no request of the service is suspected. Callers then need not compute a
+    /// digest.
     pub fn is_empty(&self, service: &ServiceName) -> bool {
         !self.statuses.contains_key(service)
     }
 
-    /// How a request stands.
     pub fn status(&self, service: &ServiceName, digest: RequestDigest) -> &RequestStatus {
         let of_service = self.statuses.get(service);
         let known = of_service.and_then(|known| known.get(&digest));
         known.unwrap_or(&RequestStatus::Free)
     }
 
-    /// The requests that are kept from back ends.
+    /// Returns the quarantined requests of all services.
     pub fn quarantined(&self) -> impl Iterator<Item = (Suspect, &QuarantinedRequest)> {
         let services = self.statuses.iter();
         let all = services.flat_map(|(service, known)| {
@@ -88,7 +79,7 @@
     }
 }
 
-/// One back end that crashed, with all requests that are not cleared of it.
+/// A crash of one back end, with the running requests that are not cleared of it.
 #[derive(Clone, Debug, Default)]
 struct Crash {
     at_ms: u64,
@@ -98,8 +89,8 @@
 
 type Crashes = BTreeMap<EngineId, Crash>;
 
-/// Judges requests by reports and clearances. Reports of one crash by several nodes count as
-/// one crash.
+/// Determines the status of requests by reports and clearances. Several nodes' reports of one
+/// crash count once.
 pub fn assess<'a>(
     reports: impl IntoIterator<Item = &'a CrashReport>,
     clearances: impl IntoIterator<Item = &'a Clearance>,
@@ -140,8 +131,8 @@
     last
 }
 
-/// Finds the requests that explain the crashes of a service, those with the most crashes
-/// first. What they explain counts for no other request.
+/// Assigns the crashes of a service to requests, in descending order of their crashes. A crash
+/// that one request explains does not count for the others.
 fn statuses(mut crashes: Crashes) -> BTreeMap<RequestDigest, RequestStatus> {
     let suspected = counts(&crashes);
     let suspected = suspected.into_iter();
@@ -167,8 +158,8 @@
     counts
 }
 
-/// A request with the most crashes, and those with as many that share some of these; nothing
-/// if none has enough.
+/// Returns a request with the most crashes and all requests that have as many and share a crash
+/// with it. None if the count is below [`MIN_CRASHES_TO_QUARANTINE`].
 fn most_crashes(crashes: &Crashes) -> Option<BTreeSet<RequestDigest>> {
     let counts = counts(crashes);
     let most = counts.values().copied().max()?;
--- a/crates/sloetrail-quarantine/src/digest.rs
+++ b/crates/sloetrail-quarantine/src/digest.rs
@@ -1,35 +1,30 @@
-//! What a request is known by when it comes again.
+//! Digests that identify repeated requests independently of their request ids.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// What makes two requests the same, whatever their ids.
+/// The parts of a request that its digest covers. The request id is not one of them.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestParts<'a> {
-    /// The tenant that sent it; empty where the configuration names none.
+    /// Empty if the configuration names no tenant.
     pub tenant: &'a [u8],
-    /// The host that it was sent to.
     pub host: &'a [u8],
-    /// Its method.
     pub method: &'a [u8],
-    /// Its path with its query.
     pub path_and_query: &'a [u8],
-    /// Its body.
     pub body: &'a [u8],
 }
 
-/// A digest of a request's tenant, host, method, path and body.
+/// A digest of a request's tenant, host, method, path with query, and body.
 ///
-/// It is cryptographic, so that nobody can make a request that is taken for another caller's;
-/// it is cut to 128 bits, which tells apart as many requests as a fleet ever sees. Rows and
-/// log lines hold it in place of the request.
+/// SHA-256, cut to 128 bits, so that a caller cannot craft a request that collides with another
+/// caller's. Rows and log lines hold the digest in place of the request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestDigest(u128);
 
 impl RequestDigest {
-    /// The digest of a request. Each part goes in with its length: parts that are cut
-    /// differently give another digest.
+    /// Computes the digest of a request. Each part is prefixed by its length, so that the
+    /// same bytes divided differently give another digest.
     pub fn of(parts: RequestParts<'_>) -> Self {
         let mut hasher = Sha256::new();
         for part in [
@@ -48,7 +43,8 @@
         Self(u128::from_be_bytes(first))
     }
 
-    /// Reads the digest that [`fmt::Display`] has written; nothing if the text is none.
+    /// Parses the text that [`fmt::Display`] writes. Returns None if it is not 32 hexadecimal
+    /// digits.
     pub fn parse(text: &str) -> Option<Self> {
         const DIGITS: usize = 32;
         let is_digest = text.len() == DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
@@ -78,6 +74,8 @@
 impl<'de> Deserialize<'de> for RequestDigest {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
-        Self::parse(&text).ok_or_else(|| serde::de::Error::custom("no digest of a request"))
+        Self::parse(&text).ok_or_else(|| {
+            serde::de::Error::custom("expected a request digest of 32 hexadecimal digits")
+        })
     }
 }
--- a/crates/sloetrail-quarantine/src/lib.rs
+++ b/crates/sloetrail-quarantine/src/lib.rs
@@ -1,14 +1,13 @@
-//! Requests under which back ends crash.
+//! Detection of requests that crash the back ends that run them ("queries of death").
 //!
-//! A request that ends each process that runs it (a "query of death") comes again under a new
-//! id, at any node. What it is known by is its [`RequestDigest`]. Each node writes a
-//! [`CrashReport`] for each back end that crashed while requests of its own were there; what
-//! all reports together say of a request is its [`RequestStatus`], which every node works out by
-//! itself, from the same rows, with [`assess`].
+//! Such a request returns under a new id and at any node, so it is identified by its
+//! [`RequestDigest`]. A node writes a [`CrashReport`] for each back end that crashed while
+//! running requests of this node. Every node derives the [`RequestStatus`] of each request from
+//! the same rows with [`assess`].
 //!
-//! Invariant: a request under which [`MIN_CRASHES_TO_QUARANTINE`] back ends of a service have crashed,
-//! and that no other request explains, stands as held or on trial until its time is over, it
-//! has been answered, or an operator releases it.
+//! Invariant: a request under which [`MIN_CRASHES_TO_QUARANTINE`] back ends of a service have
+//! crashed, and whose crashes no other request explains, is quarantined or on trial until the
+//! crash reports expire, a back end answers it, or an operator releases it.
 
 mod assessment;
 mod digest;
--- a/crates/sloetrail-quarantine/src/tests/assessment.rs
+++ b/crates/sloetrail-quarantine/src/tests/assessment.rs
@@ -1,4 +1,4 @@
-//! Who is held for which crashes.
+//! Which requests are quarantined for which crashes.
 
 use super::fleets::digest;
 use crate::{
@@ -10,7 +10,6 @@
     ServiceName::from("application")
 }
 
-/// A back end crashed at a time, with these requests.
 fn crash(back_end: &str, at_ms: u64, requests: &[&str]) -> CrashReport {
     CrashReport {
         service: service(),
@@ -46,7 +45,7 @@
 }
 
 #[test]
-fn a_request_is_held_after_the_third_back_end_and_not_before() {
+fn the_third_crash_quarantines_a_request() {
     let reports = [
         crash("b1", 10, &["culprit"]),
         crash("b2", 20, &["culprit"]),
@@ -62,7 +61,7 @@
 }
 
 #[test]
-fn one_crash_that_several_nodes_saw_counts_once() {
+fn several_reports_of_one_crash_count_once() {
     let reports = [
         crash("b1", 10, &["culprit"]),
         crash("b1", 12, &["culprit", "other"]),
@@ -72,7 +71,7 @@
 }
 
 #[test]
-fn requests_that_were_there_by_chance_go_free() {
+fn a_bystander_is_not_quarantined() {
     let reports = [
         crash("b1", 10, &["culprit"]),
         crash("b2", 20, &["culprit", "bystander"]),
@@ -86,7 +85,7 @@
 }
 
 #[test]
-fn two_that_explain_the_crashes_equally_well_are_not_clear_until_one_is_answered() {
+fn equal_suspects_stay_ambiguous_until_one_is_answered() {
     let reports = [
         crash("b1", 10, &["culprit", "bystander"]),
         crash("b2", 20, &["culprit", "bystander"]),
@@ -102,7 +101,7 @@
 }
 
 #[test]
-fn a_trial_that_ends_one_more_back_end_makes_it_clear() {
+fn a_crash_in_a_trial_identifies_the_culprit() {
     let reports = [
         crash("b1", 10, &["culprit", "bystander"]),
         crash("b2", 20, &["culprit", "bystander"]),
@@ -115,7 +114,7 @@
 }
 
 #[test]
-fn two_culprits_with_crashes_of_their_own_are_both_clear() {
+fn two_culprits_with_separate_crashes_are_both_identified() {
     let mut reports = Vec::new();
     for number in 0..3 {
         reports.push(crash(&format!("a{number}"), number, &["one"]));
@@ -128,7 +127,7 @@
 }
 
 #[test]
-fn an_answer_clears_what_came_before_and_nothing_after() {
+fn an_answer_clears_only_earlier_crashes() {
     let mut reports = vec![
         crash("b1", 10, &["popular"]),
         crash("b2", 20, &["popular"]),
@@ -146,7 +145,7 @@
 }
 
 #[test]
-fn what_ends_one_service_is_free_at_another() {
+fn a_quarantine_covers_only_its_service() {
     let reports = [
         crash("b1", 10, &["culprit"]),
         crash("b2", 20, &["culprit"]),
@@ -162,7 +161,7 @@
 }
 
 #[test]
-fn the_order_of_reports_makes_no_difference() {
+fn the_order_of_reports_does_not_matter() {
     let mut reports = vec![
         crash("b1", 10, &["culprit"]),
         crash("b2", 20, &["culprit", "bystander"]),
--- a/crates/sloetrail-quarantine/src/tests/digest.rs
+++ b/crates/sloetrail-quarantine/src/tests/digest.rs
@@ -1,4 +1,4 @@
-//! What a request is known by.
+//! Digests of requests, and their text form.
 
 use crate::{RequestDigest, RequestParts};
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn each_part_tells_requests_apart() {
+fn each_part_changes_the_digest() {
     let same = RequestDigest::of(request("body"));
     assert_eq!(RequestDigest::of(request("body")), same);
     let others = [
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_digest_is_read_back_as_it_was_written() {
+fn digests_round_trip_and_malformed_texts_are_rejected() {
     let digest = RequestDigest::of(request("body"));
     assert_eq!(RequestDigest::parse(&digest.to_string()), Some(digest));
     for text in [
--- a/crates/sloetrail-quarantine/src/tests/fleets.rs
+++ b/crates/sloetrail-quarantine/src/tests/fleets.rs
@@ -1,4 +1,4 @@
-//! Drawn fleets: how many innocent requests are held, and how many back ends one culprit ends.
+//! Random fleets: innocent requests that are quarantined, and back ends that one culprit crashes.
 
 use crate::{Clearance, CrashReport, RequestDigest, RequestParts, RequestStatus, Suspect, assess};
 use rand::rngs::StdRng;
@@ -6,7 +6,6 @@
 use sloetrail_types::{EngineId, ServiceName};
 use std::collections::BTreeSet;
 
-/// The digest of a request of this name.
 pub(super) fn digest(name: &str) -> RequestDigest {
     RequestDigest::of(RequestParts {
         tenant: b"",
@@ -18,19 +17,19 @@
 }
 
 const BACK_ENDS: usize = 10;
-/// Requests that a back end runs at a time.
+/// Concurrent requests of a back end.
 const SLOTS: usize = 5;
-/// Attempts of a request, its caller's repeats included.
+/// Attempts of a request, including repeats by its caller.
 const ATTEMPTS: usize = 4;
 const SECONDS: u64 = 6;
 
-/// A fleet of which a part crashes each second.
+/// A fleet in which a share of the back ends crashes each second.
 struct Fleet {
     rng: StdRng,
     reports: Vec<CrashReport>,
     clearances: Vec<Clearance>,
-    lives: usize,
-    /// Innocent requests that were held, and all.
+    crashes: usize,
+    /// Quarantined innocent requests.
     quarantined: usize,
     innocent: usize,
     culprit: Option<RequestDigest>,
@@ -43,7 +42,7 @@
             rng: StdRng::seed_from_u64(seed),
             reports: Vec::new(),
             clearances: Vec::new(),
-            lives: 0,
+            crashes: 0,
             quarantined: 0,
             innocent: 0,
             culprit: None,
@@ -51,19 +50,20 @@
         }
     }
 
-    /// One second: new requests; some back ends crash, and what they ran is sent on.
-    fn second(&mut self, second: u64, crash_share: f64) {
+    /// Simulates one second: new requests arrive, some back ends crash, and their requests
+    /// are resent.
+    fn simulate_second(&mut self, second: u64, crash_share: f64) {
         let names = (0..BACK_ENDS * SLOTS).map(|number| format!("{second}/{number}"));
         let mut waiting: Vec<RequestDigest> = names.map(|name| digest(&name)).collect();
         self.innocent += waiting.len();
         for attempt in 0..ATTEMPTS {
             let at_ms = second * 1_000 + attempt as u64 * 100;
-            waiting = self.round(waiting, at_ms, crash_share);
+            waiting = self.run_attempts(waiting, at_ms, crash_share);
         }
     }
 
-    /// Runs requests, each at a back end; returns those that were lost with one.
-    fn round(
+    /// Runs each request at a random back end. Returns the requests lost in crashes.
+    fn run_attempts(
         &mut self,
         requests: Vec<RequestDigest>,
         at_ms: u64,
@@ -77,30 +77,30 @@
                 RequestStatus::Quarantined(_)
             )
         };
-        let mut places: Vec<BTreeSet<RequestDigest>> = vec![BTreeSet::new(); BACK_ENDS];
+        let mut running: Vec<BTreeSet<RequestDigest>> = vec![BTreeSet::new(); BACK_ENDS];
         for request in requests {
             if is_quarantined(request) {
                 self.quarantined += 1;
                 continue;
             }
-            places[self.rng.random_range(0..BACK_ENDS)].insert(request);
+            running[self.rng.random_range(0..BACK_ENDS)].insert(request);
         }
         let culprit = self.culprit.filter(|culprit| !is_quarantined(*culprit));
         let with_culprit = culprit.map(|culprit| {
-            let place = self.rng.random_range(0..BACK_ENDS);
-            places[place].insert(culprit);
-            place
+            let back_end = self.rng.random_range(0..BACK_ENDS);
+            running[back_end].insert(culprit);
+            back_end
         });
         let mut lost = Vec::new();
-        for (place, requests) in places.into_iter().enumerate() {
-            let ends_by_culprit = with_culprit == Some(place);
-            self.culprit_crashes += usize::from(ends_by_culprit);
-            if ends_by_culprit || self.rng.random_bool(crash_share) {
-                self.lives += 1;
+        for (back_end, requests) in running.into_iter().enumerate() {
+            let is_crashed_by_culprit = with_culprit == Some(back_end);
+            self.culprit_crashes += usize::from(is_crashed_by_culprit);
+            if is_crashed_by_culprit || self.rng.random_bool(crash_share) {
+                self.crashes += 1;
                 lost.extend(requests.iter().filter(|digest| Some(**digest) != culprit));
                 self.reports.push(CrashReport {
                     service: service.clone(),
-                    back_end: EngineId::new(format!("life-{}", self.lives)),
+                    back_end: EngineId::new(format!("life-{}", self.crashes)),
                     software: None,
                     at_ms,
                     requests,
@@ -120,35 +120,35 @@
     }
 }
 
-/// Crashes, innocent requests and those of them that were held, where no request is at fault
-/// and this part of the back ends crashes each second.
+/// Simulates fleets without a culprit. Returns the counts of crashes, innocent requests and
+/// quarantined innocent requests.
 fn without_culprit(fleets: u64, crash_share: f64) -> (usize, usize, usize) {
     let (mut crashes, mut innocent, mut quarantined) = (0, 0, 0);
     for seed in 0..fleets {
         let mut fleet = Fleet::new(seed);
         for second in 0..SECONDS {
-            fleet.second(second, crash_share / ATTEMPTS as f64);
+            fleet.simulate_second(second, crash_share / ATTEMPTS as f64);
         }
-        crashes += fleet.lives;
+        crashes += fleet.crashes;
         innocent += fleet.innocent;
         quarantined += fleet.quarantined;
     }
-    println!("crashes {crashes}, innocent {innocent}, held {quarantined}");
+    println!("crashes {crashes}, innocent {innocent}, quarantined {quarantined}");
     (crashes, innocent, quarantined)
 }
 
 #[test]
-fn crashes_that_no_request_causes_hold_no_request() {
+fn unrelated_crashes_quarantine_no_request() {
     let (crashes, _, quarantined) = without_culprit(1_000, 0.01);
     assert!(crashes > 500, "{crashes}");
     assert_eq!(quarantined, 0);
 }
 
 #[test]
-fn a_fleet_in_which_a_tenth_crashes_each_second_holds_a_few_in_a_hundred_thousand() {
+fn frequent_unrelated_crashes_quarantine_few_requests() {
     let (crashes, innocent, quarantined) = without_culprit(1_000, 0.1);
     assert!(crashes > 5_000, "{crashes}");
-    // Each of them had lost three back ends, and its caller had no attempt left.
+    // A quarantined request had lost three back ends, so its caller had no attempt left.
     assert!(
         quarantined * 20_000 <= innocent,
         "{quarantined} of {innocent}"
@@ -156,19 +156,21 @@
 }
 
 #[test]
-fn a_culprit_among_others_ends_three_back_ends_and_few_innocent_requests_are_held() {
+fn a_culprit_crashes_three_back_ends_and_is_quarantined() {
     let (mut quarantined, mut innocent, mut most) = (0, 0, 0);
     for seed in 0..300 {
         let mut fleet = Fleet::new(seed);
         fleet.culprit = Some(digest("culprit"));
         for second in 0..SECONDS {
-            fleet.second(second, 0.0);
+            fleet.simulate_second(second, 0.0);
         }
         quarantined += fleet.quarantined;
         innocent += fleet.innocent;
         most = most.max(fleet.culprit_crashes);
     }
-    println!("innocent {innocent}, held {quarantined}, crashes of one culprit at most {most}");
+    println!(
+        "innocent {innocent}, quarantined {quarantined}, crashes of one culprit at most {most}"
+    );
     assert_eq!(most, 3);
     assert!(
         quarantined * 1_000 <= innocent,
--- a/crates/sloetrail-serving/src/operator.rs
+++ b/crates/sloetrail-serving/src/operator.rs
@@ -1,6 +1,8 @@
-//! What the operator and the trainers have put in force: the configuration, the published
-//! versions and the zones that are evacuated. Configuration and versions never go back
-//! within one life of a node; an evacuation holds until it is withdrawn.
+//! The state set by operator and trainers: the configuration, the published versions and the
+//! evacuated zones.
+//!
+//! Within one incarnation of a node, configuration and versions never go back. An evacuation
+//! applies until it is withdrawn.
 
 use crate::dialect::Dialect;
 use crate::events::{self, Event};
@@ -12,42 +14,40 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// Pairs of routes and tenants that are told of a configuration: a mistake shows in the first.
+/// Region conflicts logged for one configuration.
 const MAX_REPORTED_CONFLICTS: usize = 100;
 
 /// The newest published version of each model.
 pub type PublishedVersions = BTreeMap<String, WeightVersion>;
 
-/// The zones to whose back ends nothing further is to be sent.
+/// The evacuated zones. Their back ends receive no new work.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evacuations {
     zones: BTreeSet<ZoneName>,
-    /// When this node saw that an evacuation was withdrawn.
+    /// When this node learned of each withdrawal.
     withdrawn_at: BTreeMap<ZoneName, BootInstant>,
 }
 
 impl Evacuations {
-    /// True if nothing is to be sent to the back ends of a zone.
+    /// True if the back ends of the zone must receive no new work.
     pub fn covers(&self, zone: &ZoneName) -> bool {
         self.zones.contains(zone)
     }
 
-    /// When the last evacuation of a zone was withdrawn, as this node saw it.
+    /// Returns when this node learned that the last evacuation of the zone was withdrawn.
     pub fn withdrawn_at(&self, zone: &ZoneName) -> Option<BootInstant> {
         self.withdrawn_at.get(zone).copied()
     }
 
-    /// The zones that are evacuated.
     pub(crate) fn zones(&self) -> impl Iterator<Item = &ZoneName> {
         self.zones.iter()
     }
 
-    /// How many zones are evacuated.
     pub fn count(&self) -> usize {
         self.zones.len()
     }
 
-    /// Takes in the zones that are evacuated now; true if they changed.
+    /// Sets the evacuated zones. Returns true if they changed.
     pub(crate) fn replace(&mut self, zones: BTreeSet<ZoneName>) -> bool {
         if zones == self.zones {
             return false;
@@ -66,20 +66,19 @@
     }
 }
 
-/// What is in force.
+/// The configuration, published versions and evacuations in force.
 #[derive(Clone, Debug, Default)]
 pub struct InForce {
-    /// The configuration; nothing before the first one was read.
+    /// None until the first configuration has been read.
     pub configuration: Option<Arc<ServingConfiguration>>,
     /// The newest published version of each model.
     pub published: Arc<PublishedVersions>,
-    /// The zones that are evacuated.
     pub evacuations: Arc<Evacuations>,
     configuration_row: RowVersion,
 }
 
-/// Turns the operator's rows into what is in force until every receiver is gone. The second
-/// receiver is told when each view was asked for, once what it puts in force can be seen.
+/// Applies the operator's rows until every receiver is gone. The second receiver yields the
+/// request time of the last view whose content the first receiver shows.
 pub fn watch_operator(
     mut view: ViewReceiver,
     dialect: Arc<dyn Dialect>,
@@ -102,7 +101,7 @@
     (receiver, applied_at)
 }
 
-/// Takes in a newer configuration; true if there was one.
+/// Returns true if the view holds a newer configuration.
 fn apply_configuration(in_force: &mut InForce, table: &TableView, dialect: &dyn Dialect) -> bool {
     let address = &dialect.sources().configuration;
     let Some(row) = table.rows.get(&address.key) else {
@@ -135,8 +134,8 @@
     true
 }
 
-/// Tells which routes and tenants have no region in common: whoever wrote the file learns it
-/// before the first request is refused.
+/// Logs the routes and tenants that have no region in common, so that the mistake is found before
+/// a request is refused.
 fn emit_region_conflicts(configuration: &ServingConfiguration) {
     for (route, tenant) in configuration
         .region_conflicts()
@@ -150,7 +149,7 @@
     }
 }
 
-/// Takes in which zones are evacuated; true if that has changed.
+/// Returns true if the evacuated zones have changed.
 fn apply_evacuations(in_force: &mut InForce, table: &TableView, dialect: &dyn Dialect) -> bool {
     let keys = table.rows.keys();
     let zones: BTreeSet<ZoneName> = keys.filter_map(|key| dialect.evacuated_zone(key)).collect();
@@ -160,7 +159,7 @@
     Arc::make_mut(&mut in_force.evacuations).replace(zones)
 }
 
-/// Takes in newer published versions; true if there were any.
+/// Returns true if the view holds newer published versions.
 fn apply_versions(in_force: &mut InForce, table: &TableView, dialect: &dyn Dialect) -> bool {
     let mut changed = false;
     for (key, row) in &table.rows {
--- a/crates/sloetrail-serving/src/operator/tests.rs
+++ b/crates/sloetrail-serving/src/operator/tests.rs
@@ -1,4 +1,4 @@
-//! Evacuations as they are asked for, withdrawn and asked for again.
+//! Evacuations that are requested, withdrawn and requested again.
 
 use super::{Evacuations, InForce, apply_evacuations};
 use crate::follow::TableView;
@@ -18,7 +18,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_withdrawal_is_dated_once_and_only_for_its_zone() {
+async fn a_withdrawal_is_timestamped_once_for_its_zone() {
     let (north, south) = (ZoneName::from("north"), ZoneName::from("south"));
     let mut evacuations = Evacuations::default();
     assert!(evacuations.replace(zones(&["north", "south"])));
@@ -32,14 +32,14 @@
     advance(SECOND).await;
     assert!(
         !evacuations.replace(zones(&["south"])),
-        "nothing has changed"
+        "the evacuated zones have not changed"
     );
     assert_eq!(evacuations.withdrawn_at(&north), Some(withdrawn_at));
     assert_eq!(evacuations.withdrawn_at(&south), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_zone_that_is_evacuated_again_is_covered_and_dated_anew_afterwards() {
+async fn a_repeated_evacuation_updates_the_withdrawal_time() {
     let north = ZoneName::from("north");
     let mut evacuations = Evacuations::default();
     for _ in 0..2 {
@@ -68,13 +68,13 @@
 }
 
 #[test]
-fn the_rows_tell_which_zones_are_evacuated() {
+fn rows_determine_the_evacuated_zones() {
     let dialect = NativeDialect::default();
     let mut in_force = InForce::default();
-    let asked = table(&["evacuations/north", "versions/north", "configuration"]);
-    assert!(apply_evacuations(&mut in_force, &asked, &dialect));
+    let requested = table(&["evacuations/north", "versions/north", "configuration"]);
+    assert!(apply_evacuations(&mut in_force, &requested, &dialect));
     assert_eq!(in_force.evacuations.zones, zones(&["north"]));
-    assert!(!apply_evacuations(&mut in_force, &asked, &dialect));
+    assert!(!apply_evacuations(&mut in_force, &requested, &dialect));
     assert!(apply_evacuations(&mut in_force, &table(&[]), &dialect));
     assert_eq!(in_force.evacuations.count(), 0);
 }
--- a/crates/sloetrail-serving/src/quarantine/crash_registry.rs
+++ b/crates/sloetrail-serving/src/quarantine/crash_registry.rs
@@ -1,4 +1,4 @@
-//! Reports and clearances, as the table and this node tell them.
+//! Crash reports and clearances, from the table and from this node.
 
 use crate::events::{self, Event};
 use crate::follow::TableView;
@@ -10,22 +10,19 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Entries that are counted. A rack of forty back ends that ends at once is told of by a few
-/// hundred; each takes about 300 bytes. Of more than these the oldest are left out.
+/// Entries that an assessment considers. The oldest beyond this count are dropped.
 const MAX_ENTRIES: usize = 2_000;
 
-/// What a row says.
+/// The value of a quarantine row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum Entry {
-    /// A back end has crashed.
     Crashed(CrashReport),
-    /// A request has been answered or released.
     Cleared(Clearance),
 }
 
 impl Entry {
-    /// When it was found, in milliseconds of the table's clock.
+    /// When the crash or clearance was recorded, in milliseconds of the table's clock.
     pub(super) fn at_ms(&self) -> u64 {
         match self {
             Entry::Crashed(report) => report.at_ms,
@@ -33,35 +30,35 @@
         }
     }
 
-    /// The value of its row.
+    /// Encodes the value of the row.
     pub(super) fn value(&self) -> Bytes {
         Bytes::from(serde_json::to_vec(self).unwrap_or_default())
     }
 
-    /// Reads the value of a row.
+    /// Decodes the value of a row.
     pub(super) fn read(value: &[u8]) -> Result<Self, serde_json::Error> {
         serde_json::from_slice(value)
     }
 }
 
-/// An entry of the table, with the version of its row.
+/// An entry read from the table.
 #[derive(Clone, Debug)]
 struct StoredEntry {
     version: RowVersion,
-    /// Nothing if the row cannot be read.
+    /// None if the row could not be decoded.
     entry: Option<Entry>,
 }
 
-/// All entries that are known, by the keys of their rows.
+/// All known entries by row key.
 #[derive(Debug, Default)]
 pub(super) struct CrashRegistry {
     stored: BTreeMap<String, StoredEntry>,
-    /// Those of this node that the table has not told yet.
+    /// Entries of this node that have not been read back from the table yet.
     unconfirmed: BTreeMap<String, Entry>,
 }
 
 impl CrashRegistry {
-    /// Adds an entry of this node.
+    /// Adds an entry of this node until the table confirms it.
     pub(super) fn add_unconfirmed(&mut self, key: String, entry: Entry) {
         self.unconfirmed.insert(key, entry);
         while self.unconfirmed.len() > MAX_ENTRIES {
@@ -69,7 +66,7 @@
         }
     }
 
-    /// Takes in the table's rows; false if nothing has changed.
+    /// Applies the table's rows. Returns false if nothing has changed.
     pub(super) fn apply_view(&mut self, view: &TableView) -> bool {
         let rows = view.rows.range(rows::quarantine_keys());
         let versions = rows.clone().map(|(key, row)| (key, row.version));
@@ -94,7 +91,7 @@
         true
     }
 
-    /// How requests stand, by the entries that are not older than `retention`.
+    /// Assesses requests by the entries that are not older than `retention`.
     pub(super) fn assess(&self, now_ms: Option<u64>, retention: Duration) -> CrashAssessment {
         let since_ms = now_ms
             .unwrap_or_default()
@@ -120,7 +117,7 @@
         assess(reports, clearances)
     }
 
-    /// The rows that are older than `retention`, or past the number that is counted.
+    /// Returns the rows that are older than `retention` or exceed [`MAX_ENTRIES`].
     pub(super) fn expired_rows(
         &self,
         now_ms: u64,
@@ -137,16 +134,16 @@
             .collect();
         by_age.sort();
         let surplus = by_age.len().saturating_sub(MAX_ENTRIES);
-        let expired_rows = by_age.into_iter().enumerate();
-        expired_rows
-            .filter(|(place, (at_ms, _, _))| *place < surplus || *at_ms < since_ms)
+        let expired = by_age.into_iter().enumerate();
+        expired
+            .filter(|(position, (at_ms, _, _))| *position < surplus || *at_ms < since_ms)
             .map(|(_, (_, key, version))| (key.clone(), version))
             .collect()
     }
 }
 
-/// An entry that cannot be read says nothing of any request; it is told once, and deleted with
-/// those past their time.
+/// Returns None and logs the row if it cannot be decoded. Such a row counts for no request, and
+/// is deleted as the oldest.
 fn read(key: &str, value: &[u8]) -> Option<Entry> {
     Entry::read(value)
         .map_err(|error| {
--- a/crates/sloetrail-serving/src/quarantine/crash_watch.rs
+++ b/crates/sloetrail-serving/src/quarantine/crash_watch.rs
@@ -1,9 +1,9 @@
-//! Telling a back end that has crashed from one that has only lost a connection.
+//! Detection of crashed back ends, as opposed to lost connections.
 //!
-//! A request is lost when its connection breaks, which a reset in the network does as well.
-//! Only a back end whose address refuses connections right afterwards, though the directory
-//! lists it as one that takes work, has ended without meaning to. A cut link answers
-//! nothing, and a planned end is told in the directory before.
+//! A request is also lost when the network resets its connection. A back end counts as crashed
+//! only if its address refuses connections right afterwards although the directory lists it as
+//! taking work. A partitioned link does not answer at all, and a planned shutdown is announced in
+//! the directory first.
 
 use crate::back_end::BackEnd;
 use crate::directory::Directory;
@@ -18,42 +18,39 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// A process that ends closes what it has open one after the other: its connections may break
-/// a moment before its address refuses others.
+/// Delay before the second probe. A crashing process closes its connections one after another, so
+/// they may break before its address refuses new ones.
 const SECOND_PROBE_DELAY: Duration = Duration::from_millis(30);
-/// How long losses of one back end count as of one crash: all of them are noticed within
-/// milliseconds, unless this process stands still meanwhile.
+/// How long losses at one back end are attributed to the same crash.
 const LOSS_RETENTION: Duration = Duration::from_secs(10);
-/// How long a request that was left to itself may still be running: back ends drop one
-/// whose connection has closed, most of them at once.
+/// How long an abandoned request may continue to run. Back ends drop a request once its
+/// connection has closed.
 const MAX_ABANDONED_RUN: Duration = Duration::from_millis(1_500);
-/// Requests that are told of with one crash. A back end runs a few dozen at a time.
+/// Requests reported with one crash.
 const MAX_REQUESTS_PER_CRASH: usize = 64;
 
-/// A crash of a back end.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct Crash {
-    /// Requests of this node that were there and were not told of before.
+    /// Requests of this node that were running there and are not reported yet.
     pub(super) requests: BTreeSet<RequestDigest>,
 }
 
-/// What has to be done to find out whether a back end has crashed.
+/// How to determine whether a back end has crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CrashCheck {
-    /// Its address has to be looked at.
+    /// Probe its address.
     ProbeAddress,
-    /// It is known to have crashed, and this request was there too.
+    /// It is known to have crashed while running this request.
     AlreadyCrashed(RequestDigest),
 }
 
-/// What is known of a back end at which requests were lost.
+/// The state of a back end at which requests were lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// It is being looked at.
+    /// Its address is being probed.
     Probing,
-    /// Something listened at its address: it has lost connections, or is back already.
+    /// Its address accepts connections: it only lost connections, or has restarted.
     Listening,
-    /// It has crashed.
     Crashed,
 }
 
@@ -68,7 +65,7 @@
 #[derive(Debug, Default)]
 struct State {
     losses: BTreeMap<EngineId, Losses>,
-    /// Requests that were left to themselves, and when.
+    /// Abandoned requests with the time at which they were abandoned.
     abandoned: BTreeMap<EngineId, Vec<(BootInstant, RequestDigest)>>,
 }
 
@@ -83,7 +80,7 @@
         });
     }
 
-    /// A back end of which nothing was known has to be looked at.
+    /// Returns the losses of a back end. A new record starts in [`Stage::Probing`].
     fn losses_of(&mut self, back_end: &BackEnd, now: BootInstant) -> &mut Losses {
         let probing = Losses {
             back_end: back_end.clone(),
@@ -95,7 +92,7 @@
     }
 }
 
-/// Finds out which back ends have crashed, and under which requests of this node.
+/// Detects crashed back ends and the requests of this node that were running there.
 pub(super) struct CrashWatch {
     directory: watch::Receiver<Arc<Directory>>,
     ended: EndedIncarnationsReceiver,
@@ -103,7 +100,6 @@
 }
 
 impl CrashWatch {
-    /// A watch that knows of no losses.
     pub(super) fn new(
         directory: watch::Receiver<Arc<Directory>>,
         ended: EndedIncarnationsReceiver,
@@ -115,7 +111,8 @@
         }
     }
 
-    /// A request was lost while it may have been running at a back end.
+    /// Records that a request was lost that may have been running at a back end. Returns the
+    /// check to run, if any.
     pub(super) fn record_lost_run(
         &self,
         back_end: &BackEnd,
@@ -136,8 +133,9 @@
         let is_new = has_room && known.requests.insert(request);
         match before {
             None => Some(CrashCheck::ProbeAddress),
-            // It had lost connections before; this time it may have crashed. What was lost long
-            // before was not there any more.
+            // Only connections were lost before, but this time it may have crashed.
+            // Earlier losses are dropped once their requests can no longer be
+            // running.
             Some(Stage::Listening) => {
                 if now.saturating_duration_since(known.since) >= MAX_ABANDONED_RUN {
                     known.requests = BTreeSet::from([request]);
@@ -151,7 +149,7 @@
         }
     }
 
-    /// A request was left to itself while it may have been running at a back end.
+    /// Records that a request was abandoned that may still be running at a back end.
     pub(super) fn record_abandoned_run(&self, back_end: &BackEnd, request: RequestDigest) {
         let now = BootInstant::now();
         let mut state = self.state.lock().expect("not poisoned");
@@ -162,7 +160,8 @@
         }
     }
 
-    /// A back end could not be reached, which tells of a crash if a request was left there.
+    /// Records a failed connection attempt. It indicates a crash only if a request was
+    /// abandoned there.
     pub(super) fn record_unreached(&self, back_end: &BackEnd) -> Option<CrashCheck> {
         let now = BootInstant::now();
         let mut state = self.state.lock().expect("not poisoned");
@@ -176,14 +175,14 @@
         Some(CrashCheck::ProbeAddress)
     }
 
-    /// Finds out whether a back end has crashed.
+    /// Runs a check. Returns the crash if there was one.
     pub(super) async fn confirm_crash(
         &self,
         back_end: &BackEnd,
         check: CrashCheck,
     ) -> Option<Crash> {
         if let CrashCheck::AlreadyCrashed(request) = check {
-            // What was left there is told with the crash itself.
+            // Abandoned requests are reported by the check that detected the crash.
             let requests = BTreeSet::from([request]);
             return Some(Crash { requests });
         }
@@ -205,7 +204,7 @@
         Some(Self::crashed(&mut state, back_end))
     }
 
-    /// The crashes of back ends that have come back under their names since.
+    /// Returns the crashes of back ends that have restarted under the same name since.
     pub(super) fn take_ended_crashes(&self) -> Vec<(BackEnd, Crash)> {
         let ended = self.ended.borrow().clone();
         let mut state = self.state.lock().expect("not poisoned");
@@ -235,8 +234,8 @@
         }
     }
 
-    /// True if the directory lists a back end as one that takes work: one that leaves may end
-    /// at any moment without having crashed.
+    /// True if the directory lists the back end as taking work. A leaving back end may end at
+    /// any time without a crash.
     fn takes_work(&self, back_end: &BackEnd) -> bool {
         let directory = self.directory.borrow();
         let listed = directory.back_ends.get(&back_end.id);
--- a/crates/sloetrail-serving/src/quarantine/identity.rs
+++ b/crates/sloetrail-serving/src/quarantine/identity.rs
@@ -1,4 +1,4 @@
-//! What a request is known by, whatever its id.
+//! Identity of a request, independent of its request id.
 
 use crate::dialect::HeaderNames;
 use crate::gateway::attempt::OutgoingRequest;
@@ -10,8 +10,8 @@
 use sloetrail_types::TenantName;
 use std::sync::OnceLock;
 
-/// What a request is known by, whatever its id. Its digest is made when it is first asked for:
-/// nobody asks while no back end crashes.
+/// The parts of a request that its digest covers. The digest is computed on first use, which
+/// happens only after a back end of the service has crashed.
 pub(crate) struct RequestIdentity {
     tenant: Option<HeaderValue>,
     host: Option<HeaderValue>,
@@ -22,7 +22,7 @@
 }
 
 impl RequestIdentity {
-    /// The identity of a request as it goes to back ends.
+    /// Identifies a request as it is sent to back ends.
     pub(crate) fn of(outgoing: &OutgoingRequest, names: &HeaderNames) -> Self {
         Self {
             tenant: outgoing.headers.get(&names.tenant).cloned(),
@@ -34,7 +34,6 @@
         }
     }
 
-    /// The identity of an item of a batch.
     pub(crate) fn of_item(tenant: Option<&TenantName>, host: &str, item: &SubmittedItem) -> Self {
         let tenant = tenant.map(|tenant| HeaderValue::from_str(tenant.as_str()));
         Self {
@@ -47,7 +46,6 @@
         }
     }
 
-    /// Its digest.
     pub(crate) fn digest(&self) -> RequestDigest {
         *self.digest.get_or_init(|| {
             RequestDigest::of(RequestParts {
--- a/crates/sloetrail-serving/src/quarantine/mod.rs
+++ b/crates/sloetrail-serving/src/quarantine/mod.rs
@@ -1,16 +1,14 @@
-//! Keeping requests under which back ends crash from further back ends.
+//! Quarantine of requests under which back ends crash.
 //!
-//! A request that ends its back end comes again under another id, at any node. So what is
-//! counted must be counted by all nodes together and must outlast each of them: a node that
-//! finds a back end crashed ([`crash_watch`]) writes a row with the digests of its requests
-//! that were there, and every node works out from all rows which requests are held
-//! ([`sloetrail_quarantine::assess`]). The rows lie with the leases, which every node follows:
-//! an ordinary request costs a look at what is known and no message, and rows are written
-//! after crashes alone. What a node has found itself counts there at once, also while the
-//! table is away.
+//! Such a request returns under another id and at any node, so crashes are counted across all
+//! nodes and outlast each of them. A node that detects a crash ([`crash_watch`]) writes a row
+//! with the digests of its requests that were running there. Every node determines from all rows
+//! which requests are quarantined ([`sloetrail_quarantine::assess`]). The rows are stored with
+//! the leases, which every node follows: an ordinary request costs a local lookup and no message.
+//! A node's own reports count locally at once, also while the table is unavailable.
 //!
-//! Every send asks [`Quarantine::permission`] at the moment at which it leaves, by beliefs that
-//! were confirmed since the process last woke.
+//! Every send checks [`Quarantine::permission`] immediately before it leaves, against state that
+//! was confirmed since the process last resumed.
 
 mod crash_registry;
 mod crash_watch;
@@ -49,25 +47,25 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// The requests that are kept from back ends, as this node knows them.
+/// The quarantine as this node knows it.
 pub(crate) struct Quarantine {
     table: Arc<dyn Table>,
     directory: watch::Receiver<Arc<Directory>>,
     leases: ViewReceiver,
     instance: NodeId,
-    /// How long a crash speaks against a request.
+    /// How long a crash counts against a request.
     retention: Duration,
     crashes: CrashWatch,
     registry: Mutex<CrashRegistry>,
     assessment: RwLock<Arc<CrashAssessment>>,
     writer: Writer,
-    /// Tells the rows of this life apart.
+    /// Number that makes the row keys of this incarnation unique.
     next_row: AtomicU64,
 }
 
 impl Quarantine {
-    /// A quarantine that follows the rows of crashes among those of the leases. The receiver
-    /// is told when each view was asked for, once what it says can be seen.
+    /// Starts a quarantine that follows the crash rows among the lease rows. The receiver
+    /// yields the request time of the last applied view.
     pub(crate) fn start(
         settings: &ServingSettings,
         table: Arc<dyn Table>,
@@ -93,27 +91,28 @@
         (quarantine, applied_at)
     }
 
-    /// A request was lost while it may have been running at a back end.
+    /// Records that a request was lost that may have been running at a back end.
     pub(crate) fn record_lost_run(self: &Arc<Self>, back_end: &BackEnd, request: RequestDigest) {
         if let Some(check) = self.crashes.record_lost_run(back_end, request) {
             self.confirm_crash(back_end, check);
         }
     }
 
-    /// A request was left to itself while it may have been running at a back end: its caller
-    /// has gone, or no longer waits for this attempt.
+    /// Records that a request was abandoned that may still be running at a back end: its
+    /// caller has disconnected, or the attempt is no longer awaited.
     pub(crate) fn record_abandoned_run(&self, back_end: &BackEnd, request: RequestDigest) {
         self.crashes.record_abandoned_run(back_end, request);
     }
 
-    /// A back end could not be reached; it may have crashed under a request that was left.
+    /// Records a failed connection attempt. The back end may have crashed under an abandoned
+    /// request.
     pub(crate) fn record_unreached(self: &Arc<Self>, back_end: &BackEnd) {
         if let Some(check) = self.crashes.record_unreached(back_end) {
             self.confirm_crash(back_end, check);
         }
     }
 
-    /// A back end has run a request and answered it.
+    /// Records that a back end has answered a request.
     pub(crate) fn record_answered_run(
         &self,
         service: &ServiceName,
@@ -124,8 +123,8 @@
             return;
         }
         let digest = digest();
-        // One crash speaks against nobody yet, and most requests that met one are not sent
-        // again: a row for each answer would be written in vain.
+        // Most requests that met a single crash are not sent again, so a clearance row is
+        // written only after several.
         let has_several_crashes = match assessment.status(service, digest) {
             RequestStatus::Free => false,
             RequestStatus::Suspected { crashes } => *crashes > 1,
@@ -139,7 +138,8 @@
         }
     }
 
-    /// Lets a request go, whatever has crashed under it so far; false if it is not held.
+    /// Clears a quarantined request of all its crashes so far. Returns false if it is not
+    /// quarantined.
     pub(crate) fn release(&self, digest: RequestDigest) -> bool {
         let assessment = self.assessment();
         let quarantined = assessment.quarantined().map(|(suspect, _)| suspect);
@@ -152,7 +152,7 @@
         !quarantined.is_empty()
     }
 
-    /// What is known now.
+    /// Returns the current assessment.
     pub(crate) fn assessment(&self) -> Arc<CrashAssessment> {
         Arc::clone(&self.assessment.read().expect("not poisoned"))
     }
@@ -200,7 +200,7 @@
         self.next_row.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Counts an entry of this node at once, and has it written for the others.
+    /// Applies an entry of this node immediately, and queues its row for the table.
     fn record_entry(&self, address: crate::table::RowAddress, entry: Entry) {
         let value = entry.value();
         {
@@ -226,9 +226,9 @@
         *current = next;
     }
 
-    /// The versions of the software of the back ends of a service that take work; nothing if
-    /// one of them does not tell, or if only a part of the directory is held: others may use
-    /// other software.
+    /// Returns the software versions of the back ends of a service that take work. None if
+    /// one of them does not report its version, or if the directory is a subset, in which
+    /// case other back ends may run other software.
     fn software_in_use(&self, service: &ServiceName) -> Option<BTreeSet<String>> {
         let directory = self.directory.borrow();
         if !directory.covers_all {
@@ -257,8 +257,8 @@
     }
 }
 
-/// Back ends that came back under their names before their addresses were looked at have crashed
-/// all the same.
+/// Reports crashes of back ends that restarted under the same name before their address was
+/// probed.
 async fn follow_ended(
     quarantine: std::sync::Weak<Quarantine>,
     mut ended: EndedIncarnationsReceiver,
--- a/crates/sloetrail-serving/src/quarantine/operator.rs
+++ b/crates/sloetrail-serving/src/quarantine/operator.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of the quarantine, and how a request is released.
+//! Operator endpoint that lists quarantined requests and releases them.
 
 use super::Quarantine;
 use crate::gateway::response::{CallerResponse, empty_response, full_body};
@@ -6,27 +6,25 @@
 use serde::Serialize;
 use sloetrail_quarantine::RequestDigest;
 
-/// Where the requests are listed (GET), and each is released under its digest (DELETE).
+/// GET lists the requests. DELETE releases one by its digest.
 const PATH: &str = "/quarantine";
-/// Requests of one list.
 const MAX_LISTED: usize = 200;
 
-/// A request that is kept from the back ends of a service, as it is told.
+/// A quarantined request in the response.
 #[derive(Serialize)]
 struct ListedRequest {
     digest: RequestDigest,
     service: String,
     crashes: usize,
-    /// False if another request explains the crashes as well.
+    /// False if another request explains the crashes equally well.
     clear: bool,
-    /// The versions of the software that crashed.
+    /// The software versions that crashed.
     software: Vec<String>,
-    /// Milliseconds since the last crash.
     since_last_ms: u64,
 }
 
 impl Quarantine {
-    /// Answers a call about the quarantine; nothing if the path is another.
+    /// Answers a request for a quarantine path. None for any other path.
     pub(crate) fn answer_operator(&self, method: &Method, path: &str) -> Option<CallerResponse> {
         let rest = path.strip_prefix(PATH)?;
         let digest = rest.strip_prefix('/').and_then(RequestDigest::parse);
--- a/crates/sloetrail-serving/src/quarantine/permission.rs
+++ b/crates/sloetrail-serving/src/quarantine/permission.rs
@@ -1,4 +1,4 @@
-//! Whether a request may go to a back end.
+//! Permission of a request to be sent to a back end, given its quarantine status.
 
 use super::{Quarantine, RequestIdentity, RunWatch};
 use crate::back_end::BackEnd;
@@ -12,26 +12,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Whether a request may go to a back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Permission {
-    /// Nothing speaks against it.
+    /// No crash counts against it.
     Free,
-    /// A back end has crashed while it was there: it goes to one back end at a time, so that
-    /// it ends no second one before the first crash is known.
+    /// A back end has crashed while running it. It goes to one back end at a time, so that it
+    /// cannot crash a second one before the first crash is known.
     OneAtATime,
-    /// It may be tried once, if no other request of the service is being tried.
+    /// It may be sent once, while no other request of the service is on trial.
     OnTrial,
-    /// It is kept from back ends for so long.
+    /// It must not be sent to back ends.
     Quarantined {
-        /// Back ends that crashed under it.
         crashes: usize,
-        /// How much longer.
+        /// Time until it may be sent again.
         remaining: Duration,
     },
 }
 
-/// What lets a request go to back ends: the quarantine's word, asked anew at each send.
+/// Controls the sends of one request. Each send checks the quarantine again.
 #[derive(Clone)]
 pub(crate) struct QuarantinePermit {
     quarantine: Arc<Quarantine>,
@@ -41,7 +39,7 @@
 }
 
 impl QuarantinePermit {
-    /// The passage of a request to the back ends of a service.
+    /// Creates the permit of a request for the back ends of a service.
     pub(crate) fn new(
         quarantine: &Arc<Quarantine>,
         service: &ServiceName,
@@ -55,12 +53,11 @@
         }
     }
 
-    /// Whether the request may go to a back end now.
     pub(crate) fn permission(&self) -> Permission {
         self.quarantine.permission(&self.service, || self.digest())
     }
 
-    /// True if the request may leave for a back end now.
+    /// True if the request may be sent to a back end now.
     pub(crate) fn is_open(&self) -> bool {
         match self.permission() {
             Permission::Free | Permission::OneAtATime => true,
@@ -69,18 +66,18 @@
         }
     }
 
-    /// True if the request may be at several back ends at the same time.
+    /// True if the request may run at several back ends concurrently.
     pub(crate) fn allows_hedging(&self) -> bool {
         !self.is_on_trial && self.permission() == Permission::Free
     }
 
-    /// True if the request is on trial: it goes to one back end, once.
+    /// True if the request is on trial: it may be sent once, to one back end.
     pub(crate) fn is_on_trial(&self) -> bool {
         self.is_on_trial
     }
 
-    /// Opens the passage of a request that may be tried, if no other request of its service is
-    /// being tried; every other one stays as it is. A trial is over by `until`.
+    /// Starts a trial if the request needs one and no other request of its service is on
+    /// trial. The trial ends by `until`.
     pub(crate) async fn acquire_trial(&mut self, until: BootInstant) {
         if self.permission() == Permission::OnTrial {
             let suspect = Suspect {
@@ -91,7 +88,7 @@
         }
     }
 
-    /// The refusal of a request whose passage is closed; nothing if it is open.
+    /// Returns the refusal to answer with. None if the permit is open.
     pub(crate) fn refusal(&self) -> Option<Problem> {
         let (crashes, remaining) = match self.permission() {
             Permission::Free | Permission::OneAtATime => return None,
@@ -103,13 +100,15 @@
         let digest = self.digest();
         let detail = match crashes {
             Some(crashes) => format!("{crashes} back ends have crashed under request {digest}"),
-            None => format!("back ends have crashed under request {digest}; another is tried now"),
+            None => {
+                format!("back ends have crashed under request {digest}; its trial has not started")
+            }
         };
         let problem = Problem::new(ResultCode::RequestQuarantined, detail);
         Some(problem.with_retry_after_ms(remaining.as_millis() as u64))
     }
 
-    /// Watches over the request while it may be running at a back end.
+    /// Starts to track an attempt of the request at a back end.
     pub(crate) fn watch_run(&self, back_end: &Arc<BackEnd>) -> RunWatch {
         let (quarantine, identity) = (&self.quarantine, &self.identity);
         RunWatch::new(
@@ -119,14 +118,13 @@
         )
     }
 
-    /// What the request is known by when it comes again.
     pub(crate) fn digest(&self) -> RequestDigest {
         self.identity.digest()
     }
 }
 
 impl Quarantine {
-    /// Whether a request may go to a back end of a service now.
+    /// Returns whether a request may be sent to a back end of a service now.
     pub(crate) fn permission(
         &self,
         service: &ServiceName,
@@ -173,8 +171,8 @@
     }
 
     /// True if every back end that takes work runs software that has not crashed under the
-    /// request: the fault may be mended. Weights are no reason: there are new ones every few
-    /// seconds to minutes, and each would cost a back end.
+    /// request, so that the fault may be fixed. Weight versions do not count: they change too
+    /// often, and each trial may crash a back end.
     fn runs_other_software(&self, service: &ServiceName, quarantined: &QuarantinedRequest) -> bool {
         let in_use = self.software_in_use(service);
         let in_use = in_use.filter(|in_use| !in_use.is_empty() && !quarantined.software.is_empty());
--- a/crates/sloetrail-serving/src/quarantine/run_watch.rs
+++ b/crates/sloetrail-serving/src/quarantine/run_watch.rs
@@ -1,12 +1,12 @@
-//! Watching over a request while it may be running at a back end.
+//! Tracking of a request while it may be running at a back end.
 
 use super::{Quarantine, RequestIdentity};
 use crate::back_end::BackEnd;
 use crate::gateway::attempt::AttemptResult;
 use std::sync::Arc;
 
-/// Watches over one attempt of a request. Dropped before the attempt has ended, the request was
-/// left to itself: the back end may still crash under it, and nobody would see that it did.
+/// Tracks one attempt of a request. Dropping it before the attempt has ended records the request
+/// as abandoned: the back end may still crash under it unobserved.
 pub(crate) struct RunWatch {
     quarantine: Arc<Quarantine>,
     back_end: Arc<BackEnd>,
@@ -15,7 +15,7 @@
 }
 
 impl RunWatch {
-    /// Watches over a request that is about to be sent.
+    /// Tracks a request that is about to be sent.
     pub(super) fn new(
         quarantine: Arc<Quarantine>,
         back_end: Arc<BackEnd>,
@@ -29,13 +29,13 @@
         }
     }
 
-    /// The attempt has ended.
+    /// Records the result of the attempt.
     pub(crate) fn end(self, result: &AttemptResult) {
         match result {
             AttemptResult::Answered(_) | AttemptResult::RanAndFailed(_) => self.answered(),
             AttemptResult::Lost => self.lost(),
             AttemptResult::NotSent => self.not_reached(),
-            // It may still run: as if it had been left.
+            // It may still be running: dropping `self` records it as abandoned.
             AttemptResult::TimedOut => {}
             AttemptResult::NotRun
             | AttemptResult::WrongInstance
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The back end has run the request and answered it.
+    /// Records that the back end has answered the request.
     pub(crate) fn answered(mut self) {
         self.is_over = true;
         let service = &self.back_end.service;
@@ -52,20 +52,20 @@
             .record_answered_run(service, || self.identity.digest());
     }
 
-    /// The connection broke.
+    /// Records that the connection broke.
     pub(crate) fn lost(mut self) {
         self.is_over = true;
         self.quarantine
             .record_lost_run(&self.back_end, self.identity.digest());
     }
 
-    /// The back end could not be reached.
+    /// Records that the back end could not be reached.
     pub(crate) fn not_reached(mut self) {
         self.is_over = true;
         self.quarantine.record_unreached(&self.back_end);
     }
 
-    /// The request does not run there, and says nothing of the back end.
+    /// Records that the request is not running, which says nothing about the back end.
     pub(crate) fn not_running(mut self) {
         self.is_over = true;
     }
--- a/crates/sloetrail-serving/src/quarantine/sweep.rs
+++ b/crates/sloetrail-serving/src/quarantine/sweep.rs
@@ -1,4 +1,4 @@
-//! Deleting rows of crashes that are past their time.
+//! Deletion of expired quarantine rows.
 
 use super::Quarantine;
 use crate::follow::{FleetScaledDuration, FleetSize};
@@ -7,19 +7,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Between two sweeps of a node. Nobody waits for them; they read nothing, and a larger fleet
-/// has more nodes that sweep.
+/// Interval between two sweeps of a node. It grows with the fleet, since more nodes sweep.
 const MIN_PERIOD: Duration = Duration::from_secs(20);
 const PERIOD_PER_BACK_END: Duration = Duration::from_millis(350);
 const MAX_PERIOD: Duration = Duration::from_secs(300);
-/// Rows of one transaction; each takes a condition and a deletion.
+/// Each row takes one condition and one deletion.
 const MAX_ROWS_PER_TRANSACTION: usize = 40;
 
-/// Deletes rows that are past their time, now and then, for ever.
+/// Deletes expired rows periodically until the task is dropped.
 pub(crate) async fn run_row_sweeper(quarantine: Arc<Quarantine>, fleet: FleetSize) {
     let period = FleetScaledDuration::scaled(&fleet, MIN_PERIOD, PERIOD_PER_BACK_END, MAX_PERIOD);
     loop {
-        // Nodes that started together do not sweep together.
+        // Jitter keeps nodes that started together from sweeping at the same time.
         let share = 0.5 + 0.5 * rand::random::<f64>();
         tokio::time::sleep(period.now().mul_f64(share)).await;
         quarantine.sweep().await;
@@ -27,7 +26,7 @@
 }
 
 impl Quarantine {
-    /// Deletes what is past its time; what the table does not settle is left to the next sweep.
+    /// Deletes expired rows. Rows whose deletion is not confirmed are left to the next sweep.
     async fn sweep(&self) {
         let Some(now_ms) = self.table.now_ms().filter(|_| self.table.is_answering()) else {
             return;
--- a/crates/sloetrail-serving/src/quarantine/trial.rs
+++ b/crates/sloetrail-serving/src/quarantine/trial.rs
@@ -1,8 +1,8 @@
-//! Trying a request whose part in crashes is not clear.
+//! Trials of requests that may have caused crashes.
 //!
-//! A trial is one send to one back end. A service has one trial at a time over all nodes, by a
-//! row that is written under a condition: two requests that are tried side by side at one back
-//! end would explain its crash equally well once more.
+//! A trial is one send to one back end. A service has one trial at a time across all nodes,
+//! enforced by a conditional write: two requests on trial at the same back end would explain its
+//! crash equally well.
 
 use super::Quarantine;
 use crate::events::{self, Event};
@@ -12,17 +12,17 @@
 use sloetrail_clock::BootInstant;
 use sloetrail_quarantine::{RequestDigest, Suspect};
 
-/// The trial of a service that was begun last.
+/// The latest trial of a service.
 #[derive(Debug, Serialize, Deserialize)]
 struct StoredTrial {
     digest: RequestDigest,
-    /// When it is over, in milliseconds of the table's clock.
+    /// When the trial ends, in milliseconds of the table's clock.
     until_ms: u64,
 }
 
 impl Quarantine {
-    /// Begins a trial of a request; false if another one is under way or the table does not
-    /// settle it.
+    /// Starts a trial of a request. Returns false if another trial is in progress or the
+    /// table does not confirm the write.
     pub(super) async fn begin_trial(&self, suspect: &Suspect, until: BootInstant) -> bool {
         let Some(now_ms) = self.table.now_ms() else {
             return false;
--- a/crates/sloetrail-serving/src/quarantine/writer.rs
+++ b/crates/sloetrail-serving/src/quarantine/writer.rs
@@ -1,4 +1,4 @@
-//! Writing rows until the table has them.
+//! Background writer of quarantine rows, which retries until the table confirms them.
 
 use crate::retry_pause::RetryPause;
 use crate::table::{Commit, RowAddress, Table, Transaction};
@@ -7,25 +7,24 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::Notify;
 
-/// Rows that wait for the table. It is away for seconds, in which a node sees a few dozen
-/// crashes; of more the oldest are given up, and count at this node alone.
+/// Rows that wait for the table. Beyond this count the oldest are dropped, and count at this node
+/// only.
 const MAX_PENDING_ROWS: usize = 512;
-/// Rows of one transaction.
 const MAX_ROWS_PER_TRANSACTION: usize = 50;
 
-/// Rows on their way into the table. Each is written once under its own key, so that a write
-/// that takes effect late changes nothing.
+/// Rows to be written. Each has its own key and is written once, so a delayed write has no
+/// further effect.
 #[derive(Default)]
 struct Queue {
     pending: Mutex<VecDeque<(RowAddress, Bytes)>>,
     added: Notify,
 }
 
-/// Writes rows in the background until the table has them.
+/// Writes rows in the background until the table confirms them.
 pub(super) struct Writer(Arc<Queue>);
 
 impl Writer {
-    /// A writer, for as long as the node runs.
+    /// Starts a writer that runs as long as the process.
     pub(super) fn start(table: Arc<dyn Table>) -> Self {
         let queue = Arc::new(Queue::default());
         let writer = Self(Arc::clone(&queue));
@@ -38,7 +37,7 @@
         writer
     }
 
-    /// Has a row written.
+    /// Queues a row. Drops the oldest one if the queue is full.
     pub(super) fn write(&self, address: RowAddress, value: Bytes) {
         let mut pending = self.0.pending.lock().expect("not poisoned");
         pending.push_back((address, value));
@@ -66,7 +65,7 @@
                 queue.remove(&rows);
                 retry.reset();
             }
-            // Without conditions there is no conflict.
+            // A transaction without conditions cannot conflict.
             Ok(Commit::Conflict(_)) | Err(_) => retry.wait(table).await,
         }
     }
--- a/crates/sloetrail-serving/src/zone_work.rs
+++ b/crates/sloetrail-serving/src/zone_work.rs
@@ -1,5 +1,5 @@
-//! What this node has running at back ends, by zone, and when the last of it ended in a zone
-//! that is evacuated.
+//! Counts this node's running work by zone, and logs when the last of it has ended in an
+//! evacuated zone.
 
 mod tracker;
 
@@ -12,14 +12,14 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::watch;
 
-/// Counts what runs, and tells once an evacuated zone has nothing left.
+/// The running work of this node, shared between tasks.
 #[derive(Debug, Default)]
 pub(crate) struct ZoneWork {
     tracker: Mutex<ZoneWorkTracker>,
 }
 
 impl ZoneWork {
-    /// Counts for a node until what is in force is told no more.
+    /// Starts to track evacuations until the sender of `in_force` is dropped.
     pub(crate) fn start(mut in_force: watch::Receiver<Arc<InForce>>) -> Arc<Self> {
         let work = Arc::new(Self::default());
         let followed = Arc::downgrade(&work);
@@ -37,7 +37,7 @@
         work
     }
 
-    /// Something begins to run at a back end of a zone; it runs until this is dropped.
+    /// Counts a run at a back end of the zone until the guard is dropped.
     pub(crate) fn begin(self: &Arc<Self>, zone: &ZoneName, kind: WorkKind) -> ZoneWorkGuard {
         self.tracker().begin(zone, kind);
         ZoneWorkGuard {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The zones that are evacuated now, or were in this life of the node.
+    /// Returns the zones that are evacuated, or were in this incarnation of the node.
     pub(crate) fn evacuated_zones(&self) -> Vec<(ZoneName, ZoneCounts)> {
         self.tracker().evacuated_zones(BootInstant::now())
     }
@@ -57,7 +57,7 @@
     }
 }
 
-/// Something that runs at a back end of a zone.
+/// Counts one run at a back end of a zone.
 #[derive(Debug)]
 pub(crate) struct ZoneWorkGuard {
     work: Arc<ZoneWork>,
--- a/crates/sloetrail-serving/src/zone_work/tracker.rs
+++ b/crates/sloetrail-serving/src/zone_work/tracker.rs
@@ -1,35 +1,32 @@
-//! The counts, without I/O and without a clock.
+//! Running work by zone, without I/O and without a clock.
 
 use sloetrail_clock::BootInstant;
 use sloetrail_types::ZoneName;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What runs at a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WorkKind {
-    /// A live request, or a reward call.
+    /// A live request or a reward call.
     Live,
-    /// An item of a batch.
     Item,
 }
 
-/// What runs in a zone.
+/// The running work in a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ZoneCounts {
     /// Live requests and reward calls.
     pub(crate) live: usize,
-    /// Items of batches.
     pub(crate) items: usize,
-    /// How long its evacuation has been in force here; nothing if it is not.
+    /// Time since this node applied the evacuation. None if the zone is not evacuated.
     pub(crate) evacuated_for: Option<Duration>,
 }
 
-/// Nothing that this node sent to an evacuated zone runs there any more.
+/// An evacuated zone in which no work of this node is running any more.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct DrainedZone {
     pub(super) zone: ZoneName,
-    /// How long after the evacuation was in force here.
+    /// Time since this node applied the evacuation.
     pub(super) after: Duration,
 }
 
@@ -38,8 +35,8 @@
     live: usize,
     items: usize,
     evacuated_since: Option<BootInstant>,
-    /// It was told that nothing runs there any more since it was evacuated. What begins
-    /// after that is held back before it is sent.
+    /// True once the zone was reported as drained in this evacuation. Later work is withheld
+    /// before it is sent, so it must not be reported again.
     is_drained: bool,
     was_evacuated: bool,
 }
@@ -52,7 +49,7 @@
         }
     }
 
-    /// What is to be told if the zone is evacuated and the last has just ended there.
+    /// Returns the zone if it is evacuated and its last work has just ended.
     fn check_drained(&mut self, zone: &ZoneName, now: BootInstant) -> Option<DrainedZone> {
         let since = self.evacuated_since?;
         let is_empty = self.live == 0 && self.items == 0;
@@ -67,14 +64,13 @@
     }
 }
 
-/// What runs by zone, and which zones are evacuated.
+/// The running work and the evacuation state of each zone.
 #[derive(Debug, Default)]
 pub(super) struct ZoneWorkTracker {
     zones: BTreeMap<ZoneName, ZoneState>,
 }
 
 impl ZoneWorkTracker {
-    /// Something begins to run.
     pub(super) fn begin(&mut self, zone: &ZoneName, kind: WorkKind) {
         match self.zones.get_mut(zone) {
             Some(state) => *state.count(kind) += 1,
@@ -85,7 +81,7 @@
         }
     }
 
-    /// Something that was begun has ended.
+    /// Returns the zone if this was the last work of an evacuated zone.
     pub(super) fn end(
         &mut self,
         zone: &ZoneName,
@@ -98,7 +94,8 @@
         state.check_drained(zone, now)
     }
 
-    /// Takes in which zones are evacuated; those of the new ones in which nothing runs.
+    /// Sets the evacuated zones. Returns the newly evacuated zones in which no work is
+    /// running.
     pub(super) fn set_evacuated<'a>(
         &mut self,
         evacuated_zones: impl Iterator<Item = &'a ZoneName>,
@@ -124,7 +121,7 @@
         drained
     }
 
-    /// The zones that are evacuated now, or were before.
+    /// Returns the zones that are evacuated or were before.
     pub(super) fn evacuated_zones(&self, now: BootInstant) -> Vec<(ZoneName, ZoneCounts)> {
         let known = self.zones.iter();
         let evacuated_zones = known.filter(|(_, state)| state.was_evacuated);
--- a/crates/sloetrail-serving/src/zone_work/tracker/tests.rs
+++ b/crates/sloetrail-serving/src/zone_work/tracker/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_last_run_of_an_evacuated_zone_settles_it() {
+fn the_last_run_drains_an_evacuated_zone() {
     let start = BootInstant::now();
     let mut tracker = ZoneWorkTracker::default();
     for kind in [WorkKind::Live, WorkKind::Item, WorkKind::Item] {
@@ -48,13 +48,13 @@
 }
 
 #[test]
-fn a_zone_in_which_nothing_runs_is_settled_at_once_and_again_when_it_is_asked_for_again() {
+fn an_idle_zone_is_drained_at_each_evacuation() {
     let start = BootInstant::now();
     let mut tracker = ZoneWorkTracker::default();
     let at_once = [drained("a", Duration::ZERO)];
     assert_eq!(tracker.set_evacuated([zone("a")].iter(), start), at_once);
     let unchanged = tracker.set_evacuated([zone("a")].iter(), start + SECOND);
-    assert!(unchanged.is_empty(), "it is told once");
+    assert!(unchanged.is_empty(), "a drained zone is reported once");
     assert!(tracker.set_evacuated([].iter(), start + SECOND).is_empty());
     let withdrawn = [(zone("a"), ZoneCounts::default())];
     assert_eq!(tracker.evacuated_zones(start + SECOND), withdrawn);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn work_that_ends_after_a_withdrawal_tells_nothing() {
+fn work_ending_after_a_withdrawal_reports_nothing() {
     let start = BootInstant::now();
     let mut tracker = ZoneWorkTracker::default();
     tracker.begin(&zone("a"), WorkKind::Item);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn what_is_held_back_after_a_zone_was_settled_tells_nothing() {
+fn work_withheld_after_draining_reports_nothing() {
     let start = BootInstant::now();
     let mut tracker = ZoneWorkTracker::default();
     tracker.begin(&zone("a"), WorkKind::Item);
@@ -84,7 +84,7 @@
     assert_eq!(last, Some(drained("a", SECOND)));
     tracker.begin(&zone("a"), WorkKind::Live);
     let withheld = tracker.end(&zone("a"), WorkKind::Live, start + SECOND * 2);
-    assert_eq!(withheld, None, "it was told once");
+    assert_eq!(withheld, None, "a drained zone is reported once");
     tracker.set_evacuated([].iter(), start + SECOND * 3);
     let again = tracker.set_evacuated([zone("a")].iter(), start + SECOND * 4);
     assert_eq!(again, [drained("a", Duration::ZERO)]);
--- a/crates/sloetrail-serving/tests/crash_log.rs
+++ b/crates/sloetrail-serving/tests/crash_log.rs
@@ -1,5 +1,5 @@
-//! The log tells under which requests a back end crashed, by their digests, and tells a crash
-//! from a reset of connections. One test, since a process has one log.
+//! The log names the requests under which a back end crashed by digest, and does not report
+//! connection resets as crashes. One test, since a process has one log.
 
 mod support;
 
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_crash_is_told_with_the_requests_that_were_there() {
+async fn a_crash_is_logged_with_its_running_requests() {
     let reader = LogReader::default();
     events::start_with(LevelFilter::Debug, "node-1", reader.clone()).expect("starts");
     let mut cluster = native_cluster();
@@ -40,9 +40,9 @@
         application.reset_connections();
     };
     let (status, ()) = tokio::join!(send_request(&cluster, "r1", BODY), resetting);
-    assert_eq!(status, 502, "it was lost, and may have run");
+    assert_eq!(status, 502, "a lost request may have run");
     let lost = || async { reader.told("attempt_failed").pop() };
-    let first = eventually("the loss is told", lost).await;
+    let first = eventually("the lost attempt is logged", lost).await;
     assert_eq!(first["outcome"], "lost");
     tokio::time::sleep(Duration::from_millis(200)).await;
     assert_eq!(reader.told("back_end_crashed"), Vec::<Value>::new());
@@ -57,7 +57,7 @@
         crashing
     );
     assert_eq!((status, other), (502, 502));
-    // The second request may be found to have been there a moment after the first.
+    // The second request may be attributed to the crash slightly later than the first.
     let both = || async {
         let crashes = reader.told("back_end_crashed");
         let digests = crashes
@@ -66,16 +66,16 @@
         let digests: Vec<Value> = digests.flatten().cloned().collect();
         (digests.len() >= 2).then_some((crashes, digests))
     };
-    let (crashes, digests) = eventually("the crash is told with both requests", both).await;
-    assert_eq!(digests.len(), 2, "each request is told of once");
+    let (crashes, digests) = eventually("the crash is logged with both requests", both).await;
+    assert_eq!(digests.len(), 2, "each request is logged once");
     assert_ne!(digests[0], digests[1]);
-    let life = format!("{}@{}", application.id, application.started_ms);
-    let is_its = |crash: &Value| crash["back_end"] == life;
-    assert!(crashes.iter().all(is_its));
+    let incarnation = format!("{}@{}", application.id, application.started_ms);
+    let is_of_this_incarnation = |crash: &Value| crash["back_end"] == incarnation;
+    assert!(crashes.iter().all(is_of_this_incarnation));
     assert!(
         digests.contains(&first["digest"]),
-        "the request that came again has the digest that it had"
+        "a repeated request has the same digest"
     );
     let text = reader.text();
-    assert!(!text.contains(BODY), "a body is in no line");
+    assert!(!text.contains(BODY), "the log contains a request body");
 }
--- a/crates/sloetrail-serving/tests/crashing_items.rs
+++ b/crates/sloetrail-serving/tests/crashing_items.rs
@@ -1,5 +1,5 @@
-//! Items and reward calls under which back ends crash: they end few of them, also when the
-//! owner changes, and the other items go on.
+//! Items and reward calls under which back ends crash. They crash few back ends, also across a
+//! change of owner, and the other items complete.
 
 mod support;
 
@@ -11,7 +11,7 @@
 
 const PACE: Duration = Duration::from_millis(5);
 const LETHAL_EVENTS: u64 = 13;
-/// Engines that one item may end: after the third it is kept from others.
+/// Back ends that one item may crash before it is quarantined.
 const MAX_CRASHES: usize = 3;
 
 async fn add_engine(cluster: &mut Cluster) {
@@ -37,13 +37,13 @@
     engines.filter(|engine| engine.has_crashed()).count()
 }
 
-/// Replaces what has crashed for a while.
+/// Replaces crashed back ends during `time`.
 async fn replace_crashed_for(cluster: &mut Cluster, replaced: &mut usize, time: Duration) {
     let until = tokio::time::Instant::now() + time;
     while tokio::time::Instant::now() < until {
-        let ended = cluster.engines.iter().filter(|engine| engine.has_crashed());
-        let ended: Vec<_> = ended.cloned().collect();
-        for engine in ended.iter().skip(*replaced) {
+        let crashed_engines = cluster.engines.iter().filter(|engine| engine.has_crashed());
+        let crashed_engines: Vec<_> = crashed_engines.cloned().collect();
+        for engine in crashed_engines.iter().skip(*replaced) {
             cluster.unlist(engine);
             match engine.service.as_str() {
                 "application" => {
@@ -53,13 +53,13 @@
                 _ => add_engine(cluster).await,
             }
         }
-        *replaced = ended.len();
+        *replaced = crashed_engines.len();
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// Six ordinary items and the one under which engines crash.
-fn with_a_lethal_item() -> Value {
+/// Six ordinary items and one that crashes engines.
+fn batch_with_lethal_item() -> Value {
     let mut items: Vec<Value> = (0..6)
         .map(|number| item(&format!("i{number}"), &format!("g{number}"), 20))
         .collect();
@@ -68,27 +68,30 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_item_ends_few_engines_and_the_others_go_on() {
+async fn a_crashing_item_crashes_few_engines_and_others_complete() {
     let mut cluster = fragile_cluster().await;
-    accepted(&cluster, 0, "b1", &with_a_lethal_item()).await;
+    accepted(&cluster, 0, "b1", &batch_with_lethal_item()).await;
     let mut replaced = 0;
     replace_crashed_for(&mut cluster, &mut replaced, Duration::from_secs(3)).await;
     let results = cluster.wait_results(0, "b1", 6).await;
     assert!(results.iter().all(|result| result["id"] != "lethal"));
-    assert_eq!(results.len(), 6, "the lethal item is not given up either");
+    assert_eq!(results.len(), 6, "the lethal item must have no result");
     replace_crashed_for(&mut cluster, &mut replaced, Duration::from_secs(3)).await;
-    let ended = crash_count(&cluster);
-    assert!((1..=MAX_CRASHES + 1).contains(&ended), "{ended}");
+    let crashed_engines = crash_count(&cluster);
+    assert!(
+        (1..=MAX_CRASHES + 1).contains(&crashed_engines),
+        "{crashed_engines}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn another_owner_keeps_the_item_from_engines_as_well() {
+async fn an_item_stays_quarantined_under_a_new_owner() {
     let mut cluster = fragile_cluster().await;
-    accepted(&cluster, 0, "b1", &with_a_lethal_item()).await;
+    accepted(&cluster, 0, "b1", &batch_with_lethal_item()).await;
     let mut replaced = 0;
     replace_crashed_for(&mut cluster, &mut replaced, Duration::from_secs(3)).await;
     cluster.wait_results(0, "b1", 6).await;
-    let ended = crash_count(&cluster);
+    let crashed_engines = crash_count(&cluster);
     for _ in 0..2 {
         let owner = lease_holder(&cluster).await;
         if cluster.nodes[owner].has_ended() {
@@ -104,11 +107,15 @@
         eventually("another node owns the service", taken).await;
         replace_crashed_for(&mut cluster, &mut replaced, Duration::from_secs(2)).await;
     }
-    assert_eq!(crash_count(&cluster), ended, "a new owner sent it again");
+    assert_eq!(
+        crash_count(&cluster),
+        crashed_engines,
+        "a new owner sent the quarantined item again"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_reward_call_ends_few_back_ends_and_the_other_texts_are_scored() {
+async fn a_crashing_reward_call_crashes_few_back_ends() {
     let mut cluster = native_cluster();
     for _ in 0..3 {
         let application = cluster.add_application("zone-a").await;
@@ -124,7 +131,7 @@
         scored["reward"]["body"] = Value::from(body);
         scored
     };
-    // In base64: "score", and "other".
+    // Base64 of "score" and "other".
     let items = [
         scored(0, "c2NvcmU="),
         scored(1, "b3RoZXI="),
@@ -135,8 +142,15 @@
     replace_crashed_for(&mut cluster, &mut replaced, Duration::from_secs(5)).await;
     let results = cluster.wait_results(1, "b1", 2).await;
     assert!(results.iter().all(|result| result["id"] != "i0"));
-    let ended = crash_count(&cluster);
+    let crashed_engines = crash_count(&cluster);
     replace_crashed_for(&mut cluster, &mut replaced, Duration::from_secs(3)).await;
-    assert_eq!(crash_count(&cluster), ended, "it goes on ending back ends");
-    assert!((1..=MAX_CRASHES + 2).contains(&ended), "{ended}");
+    assert_eq!(
+        crash_count(&cluster),
+        crashed_engines,
+        "the reward call crashes further back ends"
+    );
+    assert!(
+        (1..=MAX_CRASHES + 2).contains(&crashed_engines),
+        "{crashed_engines}"
+    );
 }
--- a/crates/sloetrail-serving/tests/crashing_requests.rs
+++ b/crates/sloetrail-serving/tests/crashing_requests.rs
@@ -1,17 +1,8 @@
 //! Requests under which back ends crash.
 //!
-//! What users saw: for ten seconds nearly nobody who submitted a reading was served, again and
-//! again. One reading had ended each server that ran it. It came again every few seconds, under
-//! a new id and at another node, and each time two more servers ended: sixteen in all.
-//!
-//! The order of events: a node sends the request to a back end, whose process ends in the run;
-//! the node takes that for a lost connection, sends the request to the next back end, which
-//! ends as well, and answers 502. The caller repeats it at another node, which has seen none
-//! of that.
-//!
-//! The cause: the number of attempts was a promise about all nodes and all repeats, and was
-//! counted within one try in one process. Evidence: `back_end_crashed` of all nodes names the
-//! same digest each time, while no try goes to more back ends than its route allows.
+//! Guards against a request that returns under new ids and at other nodes and crashes two back
+//! ends each time: attempts were limited per try in one process, while the limit must hold across
+//! all nodes and repeats.
 
 mod support;
 
@@ -19,25 +10,25 @@
 use support::fragile::{FragileCluster, LETHAL, MAX_CRASHES, REQUEST_QUARANTINED};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_comes_again_at_any_node_ends_few_back_ends() {
+async fn a_request_repeated_at_any_node_crashes_few_back_ends() {
     let mut fragile = FragileCluster::start(4).await;
     for number in 0..12 {
         let node = number % 4;
         let id = format!("again-{number}");
-        let ended = fragile.crash_count();
+        let crashes = fragile.crash_count();
         let answer = fragile.send_request(node, "/live/x", &id, LETHAL).await;
-        if ended >= 3 {
+        if crashes >= 3 {
             assert_eq!(answer.status, 503, "try {number}: {}", answer.text());
-            assert_eq!(fragile.runs_of(&id), 0, "not run is true");
+            assert_eq!(fragile.runs_of(&id), 0, "a refused request was run");
         }
         fragile.replace_crashed().await;
     }
-    let ended = fragile.crash_count();
-    assert!(ended <= MAX_CRASHES, "{ended} back ends ended");
+    let crashes = fragile.crash_count();
+    assert!(crashes <= MAX_CRASHES, "{crashes} back ends crashed");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_is_held_is_refused_at_once_and_not_invited_back() {
+async fn a_quarantined_request_is_refused_with_a_long_retry_delay() {
     let mut fragile = FragileCluster::start(2).await;
     fragile.crash_three("/live/x").await;
     for node in 0..2 {
@@ -46,28 +37,34 @@
         assert_eq!(answer.json()["kind"], "not_run");
         let retry_after = answer.headers["retry-after"].to_str().expect("a text");
         let retry_after: f64 = retry_after.parse().expect("a time");
-        assert!(retry_after > 3_000.0, "{retry_after} s: within the hour");
-        assert!(!answer.text().contains(LETHAL), "a body is in no answer");
+        assert!(
+            retry_after > 3_000.0,
+            "{retry_after} s is not close to an hour"
+        );
+        assert!(
+            !answer.text().contains(LETHAL),
+            "the answer contains the request body"
+        );
     }
     assert_eq!(fragile.runs_of("held"), 0);
 }
 
-/// One culprit and the twelve nodes at which it may come again: how many back ends each node
-/// ends on its own account, and none after the third is known.
+/// One culprit at each of twelve nodes in turn, then at all at once: no back end crashes after
+/// the third crash is known.
 #[tokio::test(flavor = "multi_thread")]
-async fn repeats_at_all_nodes_at_once_end_no_back_end_after_the_third_is_known() {
+async fn concurrent_repeats_of_a_quarantined_request_crash_no_back_end() {
     let mut fragile = FragileCluster::start(12).await;
     let mut by_node = vec![0; 12];
-    for (node, ended_there) in by_node.iter_mut().enumerate() {
+    for (node, crashes_there) in by_node.iter_mut().enumerate() {
         let before = fragile.crash_count();
         let id = format!("round-{node}");
         fragile.send_request(node, "/live/x", &id, LETHAL).await;
-        *ended_there = fragile.crash_count() - before;
+        *crashes_there = fragile.crash_count() - before;
         fragile.replace_crashed().await;
     }
-    println!("back ends that ended, by node: {by_node:?}");
-    let ended = fragile.crash_count();
-    assert!(ended <= MAX_CRASHES, "{ended}: {by_node:?}");
+    println!("crashed back ends by node: {by_node:?}");
+    let crashes = fragile.crash_count();
+    assert!(crashes <= MAX_CRASHES, "{crashes}: {by_node:?}");
     let all =
         (0..12).map(|node| fragile.start_request(node, "/live/x", &format!("all-{node}"), LETHAL));
     let answers = futures_util::future::join_all(all).await;
@@ -77,20 +74,20 @@
             REQUEST_QUARANTINED
         );
     }
-    assert_eq!(fragile.crash_count(), ended);
+    assert_eq!(fragile.crash_count(), crashes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_beside_one_that_ends_back_ends_are_served_again() {
+async fn innocent_requests_are_served_after_a_culprits_crashes() {
     let mut fragile = FragileCluster::start(3).await;
     for round in 0..3 {
-        let beside = (0..6).map(|number| {
+        let innocent = (0..6).map(|number| {
             let id = format!("beside-{round}-{number}");
             fragile.start_request(number % 3, "/live/x", &id, &format!("reading {number}"))
         });
         let id = format!("culprit-{round}");
         let culprit = fragile.send_request(round, "/live/x", &id, LETHAL);
-        let (_, _) = futures_util::join!(futures_util::future::join_all(beside), culprit);
+        let (_, _) = futures_util::join!(futures_util::future::join_all(innocent), culprit);
         fragile.replace_crashed().await;
     }
     for number in 0..6 {
@@ -105,7 +102,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn crashes_and_resets_that_no_request_causes_hold_no_request() {
+async fn unrelated_crashes_and_resets_quarantine_no_request() {
     let mut fragile = FragileCluster::start(2).await;
     for round in 0..4 {
         let engines = fragile.cluster.engines.clone();
@@ -135,7 +132,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_before_the_crash_counts_too() {
+async fn a_crash_after_the_caller_disconnects_counts() {
     let mut fragile = FragileCluster::start(1).await;
     for number in 0..8 {
         if fragile.crash_count() >= 3 {
@@ -145,25 +142,28 @@
         engines.for_each(|engine| engine.set_pace(Duration::from_millis(40)));
         let id = format!("leaves-{number}");
         let asking = fragile.start_request(0, "/once/x", &id, LETHAL);
-        let left = tokio::time::timeout(Duration::from_millis(20), asking).await;
-        assert!(left.is_err(), "the caller leaves before its answer");
+        let outcome = tokio::time::timeout(Duration::from_millis(20), asking).await;
+        assert!(
+            outcome.is_err(),
+            "the caller got an answer before it disconnected"
+        );
         tokio::time::sleep(Duration::from_millis(80)).await;
         fragile.wait_served().await;
         fragile.replace_crashed().await;
     }
-    let ended = fragile.crash_count();
-    assert!((3..=MAX_CRASHES).contains(&ended), "{ended}");
+    let crashes = fragile.crash_count();
+    assert!((3..=MAX_CRASHES).contains(&crashes), "{crashes}");
     let answer = fragile.send_request(0, "/once/x", "stays", LETHAL).await;
     assert_eq!(answer.json()["code"], REQUEST_QUARANTINED);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_series_that_ends_back_ends_is_not_taken_up_again() {
+async fn a_quarantined_series_request_is_refused() {
     let mut fragile = FragileCluster::start(2).await;
     fragile.crash_three("/events/x").await;
     fragile.wait_quarantined(0, "/events/x").await;
     fragile.wait_quarantined(1, "/events/x").await;
-    let ended = fragile.crash_count();
+    let crashes = fragile.crash_count();
     for number in 0..6 {
         let id = format!("series-{number}");
         let answer = fragile
@@ -171,6 +171,6 @@
             .await;
         assert_eq!(answer.json()["code"], REQUEST_QUARANTINED);
     }
-    assert_eq!(fragile.crash_count(), ended);
-    assert!(ended <= MAX_CRASHES, "{ended}");
+    assert_eq!(fragile.crash_count(), crashes);
+    assert!(crashes <= MAX_CRASHES, "{crashes}");
 }
--- a/crates/sloetrail-serving/tests/evacuation.rs
+++ b/crates/sloetrail-serving/tests/evacuation.rs
@@ -1,5 +1,5 @@
-//! Zones that are evacuated, and taken back: nothing new reaches their back ends meanwhile,
-//! whatever happens to the table and to nodes.
+//! Evacuation of zones and its withdrawal: an evacuated zone receives no new work, also when the
+//! table or a node fails.
 
 mod support;
 
@@ -15,15 +15,14 @@
     assert_each_once, lease_holder, live, most_in_a_second, native_cluster, submit_items, tolerance,
 };
 
-/// The zone of the nodes.
 const OWN: &str = "zone-a";
 const OTHER: &str = "zone-b";
-/// Time for the nodes to hear of an evacuation, which takes a few milliseconds.
+/// Time within which every node applies an evacuation.
 const PROPAGATION_TIME: Duration = Duration::from_millis(300);
-/// What is refused at once is answered within this time.
+/// Bound for an immediate refusal.
 const MAX_REFUSAL_TIME: Duration = Duration::from_millis(100);
 
-/// Back ends of one zone.
+/// The back ends of one zone.
 struct Zone {
     application: Arc<EngineStandIn>,
     engine: Arc<EngineStandIn>,
@@ -37,7 +36,7 @@
         }
     }
 
-    /// How many requests and items have come so far.
+    /// Requests and items received so far.
     fn arrivals(&self) -> usize {
         self.application.arrivals().len() + self.engine.arrivals().len()
     }
@@ -50,7 +49,7 @@
     }
 }
 
-/// Nodes in a zone with back ends, and back ends in another one.
+/// Starts nodes and back ends in one zone, and back ends in another.
 async fn cluster_of_two_zones(nodes: usize, pace: Duration) -> (Cluster, Zone, Zone) {
     let mut cluster = native_cluster();
     let own = Zone::start(&mut cluster, OWN, pace).await;
@@ -59,14 +58,14 @@
     (cluster, own, other)
 }
 
-/// Waits until so many items run at an engine at least.
+/// Waits until at least `count` items are running at an engine.
 async fn wait_running(engine: &EngineStandIn, count: usize) {
     let is_busy = || async { (engine.runs().len() >= count).then_some(()) };
-    eventually("items run there", is_busy).await;
+    eventually("items are running at the engine", is_busy).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_new_reaches_an_evacuated_zone_and_what_runs_there_ends_whole() {
+async fn running_work_completes_and_no_new_work_reaches_an_evacuated_zone() {
     let (cluster, own, other) = cluster_of_two_zones(1, Duration::from_millis(20)).await;
     submit_items(&cluster, 0, "b1", 40, 40).await;
     wait_running(&own.engine, 8).await;
@@ -80,7 +79,7 @@
     assert_eq!(
         own.application.arrivals().len(),
         1,
-        "the own zone goes first"
+        "the node prefers its own zone"
     );
     cluster.evacuate(OWN);
     tokio::time::sleep(PROPAGATION_TIME).await;
@@ -92,7 +91,11 @@
     }
     assert_each_once(&cluster.wait_results(0, "b1", 40).await, 40);
     assert_each_once(&cluster.wait_results(0, "b2", 10).await, 10);
-    assert_eq!(own.arrivals(), before, "nothing further is sent there");
+    assert_eq!(
+        own.arrivals(),
+        before,
+        "new work was sent to the evacuated zone"
+    );
     assert_eq!(other.application.arrivals().len(), 20);
     let runs = own.engine.runs();
     assert!(
@@ -100,12 +103,15 @@
         "{runs:?}"
     );
     cluster.publish(2);
-    let is_ordered = || async { (other.engine.version(MODEL) == 2).then_some(()) };
-    eventually("the other zone has the weights", is_ordered).await;
-    assert!(own.engine.orders().is_empty(), "no orders go there either");
+    let has_weights = || async { (other.engine.version(MODEL) == 2).then_some(()) };
+    eventually("the other zone has the weights", has_weights).await;
+    assert!(
+        own.engine.orders().is_empty(),
+        "an order was sent to the evacuated zone"
+    );
 }
 
-/// A gauge of a node, by its name with labels; nothing if it is not told.
+/// Reads a gauge by name and labels. None if the node does not report it.
 async fn gauge(metrics: SocketAddr, name: &str) -> Option<f64> {
     let answer = Call::new(Method::GET, HOST, "/metrics").send(metrics).await;
     let text = answer.expect("an answer").text();
@@ -115,13 +121,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_metrics_tell_what_still_runs_in_an_evacuated_zone_until_nothing_does() {
+async fn metrics_report_running_work_of_an_evacuated_zone() {
     const SECONDS: &str = "sloetrail_evacuation_seconds{zone=\"zone-a\"}";
     const ITEMS: &str = "sloetrail_evacuation_running{zone=\"zone-a\",kind=\"items\"}";
     let mut cluster = native_cluster();
     let own = Zone::start(&mut cluster, OWN, Duration::from_millis(20)).await;
-    // At an address of its own: the node binds its other ports, and opens connections, at
-    // 127.0.0.1, where the system may hand out a port again that was just given back.
+    // Uses 127.0.0.2: the node binds its other ports at 127.0.0.1, where the system may
+    // reassign the port that was just released.
     let free = TcpListener::bind("127.0.0.2:0").expect("a free port");
     let metrics = free.local_addr().expect("an address");
     drop(free);
@@ -132,22 +138,23 @@
     assert_eq!(gauge(metrics, SECONDS).await, None, "never evacuated");
     cluster.evacuate(OWN);
     let in_force = || async { gauge(metrics, SECONDS).await.filter(|age| *age > 0.0) };
-    eventually("it is in force", in_force).await;
+    eventually("the evacuation is in force", in_force).await;
     assert_eq!(gauge(metrics, ITEMS).await, Some(4.0));
     cluster.wait_results(0, "b1", 4).await;
     assert_eq!(gauge(metrics, ITEMS).await, Some(0.0));
     cluster.withdraw_evacuation(OWN);
     let withdrawn = || async { gauge(metrics, SECONDS).await.filter(|age| *age == 0.0) };
-    eventually("it is withdrawn", withdrawn).await;
+    eventually("the evacuation is withdrawn", withdrawn).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn work_returns_after_the_withdrawal_no_faster_than_cold_back_ends_bear() {
+async fn work_returns_at_the_cold_rate_after_a_withdrawal() {
     const COLD: Duration = Duration::from_millis(2_000);
     const MAX_COLD_RATE: usize = 4;
     let mut cluster = native_cluster();
     cluster.cold = Some((COLD.as_secs_f64(), MAX_COLD_RATE as f64));
-    // Warm engines get the most less what a second owner may send: 28 a second.
+    // Warm engines get the maximum rate less the share reserved for a second owner: 28 a
+    // second.
     cluster.cold_tolerance = tolerance(1.0, 28.0);
     cluster.configure(usual_routes());
     let own = Zone::start(&mut cluster, OWN, Duration::from_millis(2)).await;
@@ -183,7 +190,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn with_every_zone_evacuated_live_requests_are_refused_at_once_and_batches_wait() {
+async fn live_requests_are_refused_when_all_zones_are_evacuated() {
     let (cluster, own, other) = cluster_of_two_zones(1, Duration::from_millis(5)).await;
     cluster.evacuate(OWN);
     cluster.evacuate(OTHER);
@@ -199,7 +206,11 @@
     }
     submit_items(&cluster, 0, "b1", 10, 5).await;
     tokio::time::sleep(PROPAGATION_TIME).await;
-    assert_eq!(own.arrivals() + other.arrivals(), 0, "nothing has run");
+    assert_eq!(
+        own.arrivals() + other.arrivals(),
+        0,
+        "work was sent to an evacuated zone"
+    );
     cluster.withdraw_evacuation(OTHER);
     assert_each_once(&cluster.wait_results(0, "b1", 10).await, 10);
     let answer = live(&cluster, 0, "/live/x", "r2").await.expect("an answer");
@@ -208,11 +219,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_evacuation_holds_while_the_table_is_away_and_through_the_loss_of_the_owner() {
+async fn an_evacuation_survives_table_outage_and_owner_loss() {
     let (mut cluster, own, other) = cluster_of_two_zones(2, Duration::from_millis(20)).await;
     let owner = lease_holder(&cluster).await;
-    let left = 1 - owner;
-    submit_items(&cluster, left, "b1", 40, 40).await;
+    let remaining = 1 - owner;
+    submit_items(&cluster, remaining, "b1", 40, 40).await;
     wait_running(&own.engine, 8).await;
     cluster.evacuate(OWN);
     tokio::time::sleep(PROPAGATION_TIME).await;
@@ -220,21 +231,25 @@
     cluster.table.set_down(true);
     cluster.nodes[owner].kill();
     for number in 0..10 {
-        let answer = live(&cluster, left, "/live/x", &format!("r{number}")).await;
+        let answer = live(&cluster, remaining, "/live/x", &format!("r{number}")).await;
         assert_eq!(answer.expect("an answer").status, 200);
     }
-    // Withdrawn while nobody can hear it, and asked for again.
+    // Withdrawn and requested again while the table is unavailable.
     cluster.withdraw_evacuation(OWN);
     cluster.evacuate(OWN);
     cluster.table.forget_history();
     cluster.table.set_down(false);
     assert_each_once(&cluster.wait_results(left, "b1", 40).await, 40);
-    assert_eq!(own.arrivals(), before, "nothing further is sent there");
+    assert_eq!(
+        own.arrivals(),
+        before,
+        "new work was sent to the evacuated zone"
+    );
     assert!(other.arrivals() >= 10);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_withdrawal_that_nobody_could_hear_is_in_force_once_the_table_is_back() {
+async fn a_withdrawal_during_a_table_outage_applies_afterwards() {
     let (cluster, own, _other) = cluster_of_two_zones(1, Duration::from_millis(5)).await;
     cluster.evacuate(OWN);
     tokio::time::sleep(PROPAGATION_TIME).await;
@@ -242,7 +257,7 @@
     cluster.withdraw_evacuation(OWN);
     tokio::time::sleep(PROPAGATION_TIME).await;
     live(&cluster, 0, "/live/x", "r1").await.expect("an answer");
-    assert_eq!(own.arrivals(), 0, "the last state known holds");
+    assert_eq!(own.arrivals(), 0, "the last known state no longer applies");
     cluster.table.forget_history();
     cluster.table.set_down(false);
     let returns = || async {
@@ -253,9 +268,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_was_frozen_over_the_evacuation_sends_nothing_there_on_waking() {
+async fn a_node_frozen_during_an_evacuation_sends_nothing_there() {
     const FROZEN: Duration = Duration::from_millis(1_500);
-    /// Three rounds of 0.4 s on an idle machine.
+    /// Three rounds of 0.4 s, with a margin for a loaded machine.
     const MAX_COMPLETION_TIME: Duration = Duration::from_millis(6_000);
     let (cluster, own, other) = cluster_of_two_zones(1, Duration::from_millis(20)).await;
     submit_items(&cluster, 0, "b1", 40, 20).await;
@@ -266,25 +281,28 @@
     cluster.evacuate(OWN);
     let calls = (0..5).map(|_| live(&cluster, 0, "/live/x", "r"));
     let answers = futures_util::future::join_all(calls).await;
-    assert!(answers.iter().flatten().count() > 0, "it answers on waking");
+    assert!(
+        answers.iter().flatten().count() > 0,
+        "no call was answered after the freeze"
+    );
     let watch = Stopwatch::start();
     assert_each_once(&cluster.wait_results(0, "b1", 40).await, 40);
     let took = watch.elapsed();
     assert!(
         took < MAX_COMPLETION_TIME,
-        "24 items at eight places took {took:?}"
+        "24 items at eight slots took {took:?}"
+    );
+    assert_eq!(
+        own.arrivals(),
+        before,
+        "new work was sent to the evacuated zone"
     );
-    assert_eq!(own.arrivals(), before, "nothing further is sent there");
     assert!(other.arrivals() > 0);
 }
 
-/// Sends a request whose first attempt at the own zone is pending when the node freezes, and
-/// has the other zone evacuated meanwhile. Returns how many requests came there.
-async fn sent_elsewhere_after_a_freeze(
-    path: &str,
-    body: &'static str,
-    fault: EngineFault,
-) -> usize {
+/// Freezes the node while the first attempt of a request is pending in its own zone, and
+/// evacuates the other zone meanwhile. Returns the number of requests received in the other zone.
+async fn count_sent_after_freeze(path: &str, body: &'static str, fault: EngineFault) -> usize {
     const FROZEN: Duration = Duration::from_millis(1_500);
     const FREEZE_START: Duration = Duration::from_millis(100);
     let (cluster, own, other) = cluster_of_two_zones(1, Duration::from_millis(5)).await;
@@ -295,8 +313,8 @@
         .header(&names.deadline_ms, "4000")
         .body(body);
     let freezing = async {
-        let has_come = || async { (!own.application.arrivals().is_empty()).then_some(()) };
-        eventually("the request has come", has_come).await;
+        let has_arrived = || async { (!own.application.arrivals().is_empty()).then_some(()) };
+        eventually("the request has arrived", has_arrived).await;
         cluster.nodes[0].freeze(FROZEN);
         tokio::time::sleep(FREEZE_START).await;
         cluster.evacuate(OTHER);
@@ -306,15 +324,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_pending_over_a_freeze_is_not_sent_again_to_a_zone_evacuated_meanwhile() {
-    let sent = sent_elsewhere_after_a_freeze("/live/x", "question", EngineFault::Silent).await;
+async fn a_pending_request_is_not_resent_to_an_evacuated_zone() {
+    let sent = count_sent_after_freeze("/live/x", "question", EngineFault::Silent).await;
     assert_eq!(sent, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_series_that_broke_off_in_a_freeze_is_not_taken_up_in_a_zone_evacuated_meanwhile() {
-    // At 5 ms an event it breaks off while the node stands still.
+async fn a_broken_series_is_not_resumed_in_an_evacuated_zone() {
+    // At 5 ms per event the series breaks off while the node is frozen.
     let fault = EngineFault::BreaksOff(60);
-    let sent = sent_elsewhere_after_a_freeze("/events/x", "events=200", fault).await;
+    let sent = count_sent_after_freeze("/events/x", "events=200", fault).await;
     assert_eq!(sent, 0);
 }
--- a/crates/sloetrail-serving/tests/quarantine_under_failure.rs
+++ b/crates/sloetrail-serving/tests/quarantine_under_failure.rs
@@ -1,5 +1,4 @@
-//! Requests under which back ends crash stay held whatever happens to nodes and table, and are
-//! let go in time.
+//! Requests stay quarantined when nodes or the table fail, and are released in time.
 
 mod support;
 
@@ -17,7 +16,7 @@
 
 const LEASES: &str = "sloetrail_leases";
 
-/// Asks each node for the lethal request and says how often it was sent on.
+/// Sends the lethal request to each node. Returns how often back ends ran it.
 async fn count_runs(fragile: &FragileCluster, round: &str) -> usize {
     let mut runs = 0;
     for node in 0..fragile.cluster.nodes.len() {
@@ -29,7 +28,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_starts_later_knows_before_it_is_ready() {
+async fn a_new_node_knows_quarantined_requests_when_ready() {
     let mut fragile = FragileCluster::start(2).await;
     fragile.crash_three("/live/x").await;
     fragile.wait_quarantined(0, "/live/x").await;
@@ -41,7 +40,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_held_outlasts_all_nodes() {
+async fn a_quarantine_outlasts_all_nodes() {
     let mut fragile = FragileCluster::start(2).await;
     fragile.crash_three("/live/x").await;
     fragile.wait_quarantined(1, "/live/x").await;
@@ -55,7 +54,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_keeps_what_it_has_found_while_the_table_is_down_and_tells_it_afterwards() {
+async fn crashes_during_a_table_outage_are_reported_afterwards() {
     let mut fragile = FragileCluster::with_cluster(client_cluster(), 2).await;
     fragile.cluster.table.set_down(true);
     for number in 0..6 {
@@ -65,25 +64,25 @@
             break;
         }
     }
-    // The address of the third has to be looked at before the node knows that it crashed.
+    // The address of the third back end has to be probed before its crash is known.
     tokio::time::sleep(REPORT_PROPAGATION_TIME).await;
-    let ended = fragile.crash_count();
-    assert!((3..=MAX_CRASHES).contains(&ended), "{ended}");
+    let crashes = fragile.crash_count();
+    assert!((3..=MAX_CRASHES).contains(&crashes), "{crashes}");
     for number in 0..4 {
         let id = format!("still-{number}");
         let answer = fragile.send_request(0, "/live/x", &id, LETHAL).await;
         assert_eq!(answer.json()["code"], REQUEST_QUARANTINED, "{id}");
-        assert_eq!(fragile.runs_of(&id), 0, "not run is true");
+        assert_eq!(fragile.runs_of(&id), 0, "a refused request was run");
     }
     fragile.cluster.table.set_down(false);
     fragile.replace_crashed().await;
-    // The other node has ended none itself.
+    // The other node has not crashed any back end itself.
     tokio::time::sleep(2 * REPORT_PROPAGATION_TIME).await;
     assert_eq!(count_runs(&fragile, "back").await, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_late_and_slow_answers_of_the_table_lose_no_crash() {
+async fn table_commit_faults_lose_no_crash_report() {
     let faults = [
         CommitFault::DoneUnanswered,
         CommitFault::LostOnTheWay,
@@ -97,13 +96,13 @@
         fragile.crash_three("/live/x").await;
         tokio::time::sleep(3 * REPORT_PROPAGATION_TIME).await;
         assert_eq!(count_runs(&fragile, "after").await, 0, "{fault:?}");
-        let ended = fragile.crash_count();
-        assert!(ended <= MAX_CRASHES + 1, "{fault:?}: {ended}");
+        let crashes = fragile.crash_count();
+        assert!(crashes <= MAX_CRASHES + 1, "{fault:?}: {crashes}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_was_cut_off_or_frozen_sends_none_on_what_it_knew_before() {
+async fn a_frozen_node_does_not_send_by_stale_state() {
     let fragile = FragileCluster::start(3).await;
     fragile.cluster.nodes[2].freeze(Duration::from_millis(2_500));
     let late = tokio::spawn(fragile.start_request(2, "/live/x", "late", LETHAL));
@@ -117,23 +116,27 @@
             .await;
         fragile.unlist_crashed();
     }
-    let ended = fragile.crash_count();
-    let answer = late.await.expect("it ends");
-    assert_eq!(fragile.crash_count(), ended, "the woken node ended another");
+    let crashes = fragile.crash_count();
+    let answer = late.await.expect("the request task panicked");
+    assert_eq!(
+        fragile.crash_count(),
+        crashes,
+        "the resumed node crashed another back end"
+    );
     if let Some(answer) = answer {
         assert_ne!(answer.status, 200);
     }
 }
 
-/// At an address of its own: the node binds its other ports at 127.0.0.1, where the system may
-/// hand out a port again that was just given back.
+/// Returns an address on 127.0.0.2: the node binds its other ports at 127.0.0.1, where the system
+/// may reassign a port that was just released.
 fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.2:0").expect("a free port");
     listener.local_addr().expect("bound")
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_operator_sees_what_is_held_and_releases_it() {
+async fn an_operator_lists_and_releases_quarantined_requests() {
     let mut cluster = client_cluster();
     let operators = free_address();
     cluster.metrics_address = Some(operators);
@@ -162,7 +165,7 @@
                 .await;
             (answer.status == 200).then_some(())
         };
-        eventually("it is served once it is released", is_served).await;
+        eventually("the released request is served", is_served).await;
     }
     let list = Call::new(Method::GET, HOST, "/quarantine");
     let list = list.send(operators).await.expect("a list").json();
@@ -170,11 +173,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn other_software_gets_one_try_and_clears_the_request_if_it_bears_it() {
+async fn new_software_gets_one_trial_and_clears_on_success() {
     let mut fragile = FragileCluster::start(2).await;
     fragile.crash_three("/live/x").await;
     fragile.replace_software("v2").await;
-    let ended = fragile.crash_count();
+    let crashes = fragile.crash_count();
     tokio::time::sleep(Duration::from_millis(2_200)).await;
     for number in 0..6 {
         let id = format!("v2-{number}");
@@ -184,8 +187,8 @@
     }
     assert_eq!(
         fragile.crash_count(),
-        ended + 1,
-        "one try, and it crashed too"
+        crashes + 1,
+        "the trial must crash exactly one back end"
     );
     fragile.replace_crashed().await;
 
@@ -197,11 +200,11 @@
         let answer = fragile.send_request(1, "/live/x", "v3", LETHAL).await;
         (answer.status == 200).then_some(())
     };
-    eventually("the software that bears it serves it", is_served).await;
+    eventually("the fixed software serves the request", is_served).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn rows_that_cannot_be_read_hold_nothing_and_end_nothing() {
+async fn unreadable_rows_quarantine_nothing() {
     let fragile = FragileCluster::start(1).await;
     let table = &fragile.cluster.table;
     for (number, value) in ["", "{", "[]", "{\"crashed\":7}", "\u{fffd}"]
--- a/crates/sloetrail-serving/tests/support/fragile.rs
+++ b/crates/sloetrail-serving/tests/support/fragile.rs
@@ -1,4 +1,4 @@
-//! A cluster whose back ends crash under one request, and are replaced.
+//! A cluster whose back ends crash under one request and are replaced.
 
 use super::native_cluster;
 use http::Method;
@@ -10,26 +10,25 @@
 
 /// The body of the request under which back ends crash.
 pub const LETHAL: &str = "a reading that ends its server";
-/// Back ends that one request may end: after the third its repeats are kept from further ones,
-/// and an attempt may be on its way when the third ends.
+/// Back ends that one request may crash: it is quarantined after the third, and one more attempt
+/// may be in flight then.
 pub const MAX_CRASHES: usize = 4;
 
 /// A cluster whose applications crash under one request.
 pub struct FragileCluster {
-    /// The cluster.
     pub cluster: Cluster,
-    /// The software of applications that start from now on.
+    /// The software version of applications that are started from now on.
     pub software: &'static str,
     replaced: usize,
 }
 
 impl FragileCluster {
-    /// So many nodes and four applications.
+    /// Starts a cluster of `nodes` nodes and four applications.
     pub async fn start(nodes: usize) -> Self {
         Self::with_cluster(native_cluster(), nodes).await
     }
 
-    /// The same with a cluster that was made before.
+    /// Adds nodes and four applications to an existing cluster.
     pub async fn with_cluster(cluster: Cluster, nodes: usize) -> Self {
         let mut fragile = Self {
             cluster,
@@ -59,13 +58,12 @@
         self.cluster.list(&application);
     }
 
-    /// Sends a request to a node.
     pub async fn send_request(&self, node: usize, path: &str, id: &str, body: &str) -> Answer {
         let answer = self.start_request(node, path, id, body).await;
         answer.expect("an answer")
     }
 
-    /// The sending of a request to a node; nothing if no answer comes.
+    /// Returns a future that sends a request to a node. None if no answer comes.
     pub fn start_request(
         &self,
         node: usize,
@@ -82,8 +80,8 @@
         async move { call.send(address).await }
     }
 
-    /// Sends the lethal request to the nodes in turn, and replaces what crashes, until it has
-    /// ended three back ends.
+    /// Sends the lethal request to the nodes in turn until it has crashed three back ends,
+    /// and replaces each.
     pub async fn crash_three(&mut self, path: &str) {
         let nodes = self.cluster.nodes.len();
         for number in 0..6 {
@@ -97,7 +95,6 @@
         panic!("{} back ends have crashed", self.crash_count());
     }
 
-    /// The applications that have crashed.
     pub fn crash_count(&self) -> usize {
         self.crashed_applications().len()
     }
@@ -108,14 +105,14 @@
         crash_count.cloned().collect()
     }
 
-    /// Takes the applications that have crashed off the directory.
+    /// Removes the crashed applications from the directory.
     pub fn unlist_crashed(&self) {
         for application in self.crashed_applications() {
             self.cluster.unlist(&application);
         }
     }
 
-    /// Replaces the applications that have crashed, and waits until each node is served again.
+    /// Replaces the crashed applications, and waits until each node serves requests again.
     pub async fn replace_crashed(&mut self) {
         self.unlist_crashed();
         let crash_count = self.crash_count();
@@ -126,7 +123,7 @@
         self.wait_served().await;
     }
 
-    /// Replaces every application by one of other software.
+    /// Replaces every application by one with another software version.
     pub async fn replace_software(&mut self, software: &'static str) {
         self.software = software;
         for engine in self.cluster.engines.clone() {
@@ -151,24 +148,24 @@
         }
     }
 
-    /// Runs of a request at all back ends.
+    /// Counts the runs of a request at all back ends.
     pub fn runs_of(&self, id: &str) -> usize {
         let engines = self.cluster.engines.iter();
         engines.map(|engine| engine.runs_of(id).len()).sum()
     }
 
-    /// Waits until the node refuses the lethal request without sending it on.
+    /// Waits until the node refuses the lethal request as quarantined.
     pub async fn wait_quarantined(&self, node: usize, path: &str) {
         let is_quarantined = || async {
             let answer = self.send_request(node, path, "asked", LETHAL).await;
             (answer.json()["code"] == REQUEST_QUARANTINED).then_some(())
         };
-        eventually("the request is held", is_quarantined).await;
+        eventually("the request is quarantined", is_quarantined).await;
     }
 }
 
-/// The code of a request that is kept from back ends.
+/// The result code of a quarantined request.
 pub const REQUEST_QUARANTINED: u16 = 1111;
 
-/// How long news of a crash may take from one node to the others where nothing is slow.
+/// Time within which a crash report reaches all nodes if nothing is delayed.
 pub const REPORT_PROPAGATION_TIME: Duration = Duration::from_millis(500);
