--- a/crates/sloetrail-serving/tests/evacuation.rs
+++ b/crates/sloetrail-serving/tests/evacuation.rs
@@ -239,7 +239,7 @@
     cluster.evacuate(OWN);
     cluster.table.forget_history();
     cluster.table.set_down(false);
-    assert_each_once(&cluster.wait_results(left, "b1", 40).await, 40);
+    assert_each_once(&cluster.wait_results(remaining, "b1", 40).await, 40);
     assert_eq!(
         own.arrivals(),
         before,
