--- a/crates/sloetrail-quarantine/src/assessment.rs
+++ b/crates/sloetrail-quarantine/src/assessment.rs
@@ -11,12 +11,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Crashed back ends from which a request is quarantined. Fewer would quarantine innocent
-/// requests: a request that is resent may meet a second unrelated crash.
+/// Number of crashed back ends at which a request is quarantined. A smaller number would
+/// quarantine innocent requests: a request that is resent may meet a second unrelated crash.
 pub const MIN_CRASHES_TO_QUARANTINE: usize = 3;
 
-/// Delay between the last crash and the trial of a request that may have caused it. Crashed back
-/// ends restart within it, and their other requests have ended.
+/// Delay between the last crash and the trial of a request that may have caused it. It gives
+/// crashed back ends time to restart and their other requests time to end.
 pub const TRIAL_DELAY: Duration = Duration::from_secs(2);
 
 /// The crashes of a quarantined request.
--- a/crates/sloetrail-serving/src/operator.rs
+++ b/crates/sloetrail-serving/src/operator.rs
@@ -101,7 +101,7 @@
     (receiver, applied_at)
 }
 
-/// Returns true if the view holds a newer configuration.
+/// Applies a newer configuration. Returns true if there was one.
 fn apply_configuration(in_force: &mut InForce, table: &TableView, dialect: &dyn Dialect) -> bool {
     let address = &dialect.sources().configuration;
     let Some(row) = table.rows.get(&address.key) else {
@@ -149,7 +149,7 @@
     }
 }
 
-/// Returns true if the evacuated zones have changed.
+/// Applies the evacuated zones. Returns true if they have changed.
 fn apply_evacuations(in_force: &mut InForce, table: &TableView, dialect: &dyn Dialect) -> bool {
     let keys = table.rows.keys();
     let zones: BTreeSet<ZoneName> = keys.filter_map(|key| dialect.evacuated_zone(key)).collect();
@@ -159,7 +159,7 @@
     Arc::make_mut(&mut in_force.evacuations).replace(zones)
 }
 
-/// Returns true if the view holds newer published versions.
+/// Applies newer published versions. Returns true if there were any.
 fn apply_versions(in_force: &mut InForce, table: &TableView, dialect: &dyn Dialect) -> bool {
     let mut changed = false;
     for (key, row) in &table.rows {
--- a/crates/sloetrail-serving/src/quarantine/crash_watch.rs
+++ b/crates/sloetrail-serving/src/quarantine/crash_watch.rs
@@ -49,7 +49,7 @@
 enum Stage {
     /// Its address is being probed.
     Probing,
-    /// Its address accepts connections: it only lost connections, or has restarted.
+    /// The address accepts connections: the back end only lost connections, or has restarted.
     Listening,
     Crashed,
 }
@@ -182,7 +182,8 @@
         check: CrashCheck,
     ) -> Option<Crash> {
         if let CrashCheck::AlreadyCrashed(request) = check {
-            // Abandoned requests are reported by the check that detected the crash.
+            // Requests abandoned there are reported by the check that detected the
+            // crash.
             let requests = BTreeSet::from([request]);
             return Some(Crash { requests });
         }
--- a/crates/sloetrail-serving/src/quarantine/mod.rs
+++ b/crates/sloetrail-serving/src/quarantine/mod.rs
@@ -47,7 +47,7 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// The quarantine as this node knows it.
+/// This node's view of the quarantine, and the records that it adds to it.
 pub(crate) struct Quarantine {
     table: Arc<dyn Table>,
     directory: watch::Receiver<Arc<Directory>>,
--- a/crates/sloetrail-serving/tests/crashing_requests.rs
+++ b/crates/sloetrail-serving/tests/crashing_requests.rs
@@ -1,8 +1,8 @@
 //! Requests under which back ends crash.
 //!
-//! Guards against a request that returns under new ids and at other nodes and crashes two back
-//! ends each time: attempts were limited per try in one process, while the limit must hold across
-//! all nodes and repeats.
+//! Guards against a request that returns under new ids and at other nodes and crashes further
+//! back ends each time: the limit on crashes holds across all nodes and repeats, not only within
+//! one try.
 
 mod support;
 
