--- a/crates/sloetrail-serving/src/back_end_connections.rs
+++ b/crates/sloetrail-serving/src/back_end_connections.rs
@@ -9,7 +9,7 @@
 use crate::directory::Directory;
 use crate::http::{ConnectionPool, Exchange, FullBody, Reuse, SendFailure};
 use crate::operator::InForce;
-use crate::quarantine::Passage;
+use crate::quarantine::QuarantinePermit;
 use crate::suspension_guard::SuspensionGuard;
 use http::Request;
 use sloetrail_clock::BootInstant;
@@ -45,12 +45,12 @@
         &self,
         back_end: &BackEnd,
         request: Request<FullBody>,
-        quarantine_permit: Option<&Passage>,
+        quarantine_permit: Option<&QuarantinePermit>,
         reuse: Reuse,
         deadline: BootInstant,
     ) -> Result<Exchange, SendFailure> {
         let takes_work =
-            || self.takes_work(back_end) && quarantine_permit.is_none_or(Passage::is_open);
+            || self.takes_work(back_end) && quarantine_permit.is_none_or(QuarantinePermit::is_open);
         // Checked before connecting too: an unused connection still costs the back end resources.
         let sent = match takes_work() {
             true => {
--- a/crates/sloetrail-serving/src/quarantine/operator.rs
+++ b/crates/sloetrail-serving/src/quarantine/operator.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of the quarantine, and how a request is released.
+//! Operator endpoint that lists quarantined requests and releases them.
 
 use super::Quarantine;
 use crate::gateway::response::{CallerResponse, empty_response, full_body};
@@ -6,27 +6,25 @@
 use serde::Serialize;
 use sloetrail_quarantine::RequestDigest;
 
-/// Where the requests are listed (GET), and each is released under its digest (DELETE).
+/// GET lists the requests. DELETE releases one by its digest.
 const PATH: &str = "/quarantine";
-/// Requests of one list.
-const LISTED_MOST: usize = 200;
+const MAX_LISTED: usize = 200;
 
-/// A request that is kept from the back ends of a service, as it is told.
+/// A quarantined request in the response.
 #[derive(Serialize)]
-struct HeldRequest {
+struct ListedRequest {
     digest: RequestDigest,
     service: String,
     crashes: usize,
-    /// False if another request explains the crashes as well.
+    /// False if another request explains the crashes equally well.
     clear: bool,
-    /// The versions of the software that crashed.
+    /// The software versions that crashed.
     software: Vec<String>,
-    /// Milliseconds since the last crash.
     since_last_ms: u64,
 }
 
 impl Quarantine {
-    /// Answers a call about the quarantine; nothing if the path is another.
+    /// Answers a request for a quarantine path. None for any other path.
     pub(crate) fn answer_operator(&self, method: &Method, path: &str) -> Option<CallerResponse> {
         let rest = path.strip_prefix(PATH)?;
         let digest = rest.strip_prefix('/').and_then(RequestDigest::parse);
@@ -41,18 +39,20 @@
 
     fn list(&self) -> CallerResponse {
         let now_ms = self.table.now_ms().unwrap_or_default();
-        let judgement = self.judgement();
-        let held = judgement.held().take(LISTED_MOST);
-        let held: Vec<HeldRequest> = held
-            .map(|(suspect, held)| HeldRequest {
+        let assessment = self.assessment();
+        let quarantined = assessment.quarantined().take(MAX_LISTED);
+        let quarantined: Vec<ListedRequest> = quarantined
+            .map(|(suspect, quarantined)| ListedRequest {
                 digest: suspect.digest,
                 service: suspect.service.to_string(),
-                crashes: held.crashes,
-                clear: held.is_clear,
-                software: held.software.iter().cloned().collect(),
-                since_last_ms: now_ms.saturating_sub(held.last_ms),
+                crashes: quarantined.crashes,
+                clear: quarantined.is_sole_suspect,
+                software: quarantined.software.iter().cloned().collect(),
+                since_last_ms: now_ms.saturating_sub(quarantined.last_crash_ms),
             })
             .collect();
-        Response::new(full_body(serde_json::to_vec(&held).unwrap_or_default()))
+        Response::new(full_body(
+            serde_json::to_vec(&quarantined).unwrap_or_default(),
+        ))
     }
 }
--- a/crates/sloetrail-serving/src/quarantine/permission.rs
+++ b/crates/sloetrail-serving/src/quarantine/permission.rs
@@ -1,45 +1,45 @@
-//! Whether a request may go to a back end.
+//! Permission of a request to be sent to a back end, given its quarantine status.
 
 use super::{Quarantine, RequestIdentity, RunWatch};
 use crate::back_end::BackEnd;
 use crate::telemetry;
 use sloetrail_clock::BootInstant;
-use sloetrail_quarantine::{Held, RequestDigest, Standing, Suspect, TRIAL_PAUSE};
+use sloetrail_quarantine::{
+    QuarantinedRequest, RequestDigest, RequestStatus, Suspect, TRIAL_DELAY,
+};
 use sloetrail_result::{Problem, ResultCode};
 use sloetrail_types::ServiceName;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Whether a request may go to a back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Permission {
-    /// Nothing speaks against it.
+    /// No crash counts against it.
     Free,
-    /// A back end has crashed while it was there: it goes to one back end at a time, so that
-    /// it ends no second one before the first crash is known.
+    /// A back end has crashed while running it. It goes to one back end at a time, so that it
+    /// cannot crash a second one before the first crash is known.
     OneAtATime,
-    /// It may be tried once, if no other request of the service is being tried.
+    /// It may be sent once, while no other request of the service is on trial.
     OnTrial,
-    /// It is kept from back ends for so long.
-    Held {
-        /// Back ends that crashed under it.
+    /// It must not be sent to back ends.
+    Quarantined {
         crashes: usize,
-        /// How much longer.
-        left: Duration,
+        /// Time until it may be sent again.
+        remaining: Duration,
     },
 }
 
-/// What lets a request go to back ends: the quarantine's word, asked anew at each send.
+/// Controls the sends of one request. Each send checks the quarantine again.
 #[derive(Clone)]
-pub(crate) struct Passage {
+pub(crate) struct QuarantinePermit {
     quarantine: Arc<Quarantine>,
     service: ServiceName,
     identity: Arc<RequestIdentity>,
     is_on_trial: bool,
 }
 
-impl Passage {
-    /// The passage of a request to the back ends of a service.
+impl QuarantinePermit {
+    /// Creates the permit of a request for the back ends of a service.
     pub(crate) fn new(
         quarantine: &Arc<Quarantine>,
         service: &ServiceName,
@@ -53,33 +53,32 @@
         }
     }
 
-    /// Whether the request may go to a back end now.
     pub(crate) fn permission(&self) -> Permission {
         self.quarantine.permission(&self.service, || self.digest())
     }
 
-    /// True if the request may leave for a back end now.
+    /// True if the request may be sent to a back end now.
     pub(crate) fn is_open(&self) -> bool {
         match self.permission() {
             Permission::Free | Permission::OneAtATime => true,
             Permission::OnTrial => self.is_on_trial,
-            Permission::Held { .. } => false,
+            Permission::Quarantined { .. } => false,
         }
     }
 
-    /// True if the request may be at several back ends at the same time.
-    pub(crate) fn may_be_hedged(&self) -> bool {
+    /// True if the request may run at several back ends concurrently.
+    pub(crate) fn allows_hedging(&self) -> bool {
         !self.is_on_trial && self.permission() == Permission::Free
     }
 
-    /// True if the request is on trial: it goes to one back end, once.
+    /// True if the request is on trial: it may be sent once, to one back end.
     pub(crate) fn is_on_trial(&self) -> bool {
         self.is_on_trial
     }
 
-    /// Opens the passage of a request that may be tried, if no other request of its service is
-    /// being tried; every other one stays as it is. A trial is over by `until`.
-    pub(crate) async fn ask_for_trial(&mut self, until: BootInstant) {
+    /// Starts a trial if the request needs one and no other request of its service is on
+    /// trial. The trial ends by `until`.
+    pub(crate) async fn acquire_trial(&mut self, until: BootInstant) {
         if self.permission() == Permission::OnTrial {
             let suspect = Suspect {
                 service: self.service.clone(),
@@ -89,25 +88,27 @@
         }
     }
 
-    /// The refusal of a request whose passage is closed; nothing if it is open.
+    /// Returns the refusal to answer with. None if the permit is open.
     pub(crate) fn refusal(&self) -> Option<Problem> {
-        let (crashes, left) = match self.permission() {
+        let (crashes, remaining) = match self.permission() {
             Permission::Free | Permission::OneAtATime => return None,
             Permission::OnTrial if self.is_on_trial => return None,
-            Permission::OnTrial => (None, TRIAL_PAUSE),
-            Permission::Held { crashes, left } => (Some(crashes), left),
+            Permission::OnTrial => (None, TRIAL_DELAY),
+            Permission::Quarantined { crashes, remaining } => (Some(crashes), remaining),
         };
         telemetry::request_kept_back(self.service.as_str());
         let digest = self.digest();
         let detail = match crashes {
             Some(crashes) => format!("{crashes} back ends have crashed under request {digest}"),
-            None => format!("back ends have crashed under request {digest}; another is tried now"),
+            None => {
+                format!("back ends have crashed under request {digest}; its trial has not started")
+            }
         };
         let problem = Problem::new(ResultCode::RequestQuarantined, detail);
-        Some(problem.with_retry_after_ms(left.as_millis() as u64))
+        Some(problem.with_retry_after_ms(remaining.as_millis() as u64))
     }
 
-    /// Watches over the request while it may be running at a back end.
+    /// Starts to track an attempt of the request at a back end.
     pub(crate) fn watch_run(&self, back_end: &Arc<BackEnd>) -> RunWatch {
         let (quarantine, identity) = (&self.quarantine, &self.identity);
         RunWatch::new(
@@ -117,58 +118,64 @@
         )
     }
 
-    /// What the request is known by when it comes again.
     pub(crate) fn digest(&self) -> RequestDigest {
         self.identity.digest()
     }
 }
 
 impl Quarantine {
-    /// Whether a request may go to a back end of a service now.
+    /// Returns whether a request may be sent to a back end of a service now.
     pub(crate) fn permission(
         &self,
         service: &ServiceName,
         digest: impl FnOnce() -> RequestDigest,
     ) -> Permission {
-        let judgement = self.judgement();
-        if judgement.is_empty(service) {
+        let assessment = self.assessment();
+        if assessment.is_empty(service) {
             return Permission::Free;
         }
-        match judgement.standing(service, digest()) {
-            Standing::Free => Permission::Free,
-            Standing::Suspected { .. } => Permission::OneAtATime,
-            Standing::Held(held) => self.permission_of_held(service, held),
+        match assessment.status(service, digest()) {
+            RequestStatus::Free => Permission::Free,
+            RequestStatus::Suspected { .. } => Permission::OneAtATime,
+            RequestStatus::Quarantined(quarantined) => {
+                self.permission_of_quarantined(service, quarantined)
+            }
         }
     }
 
-    fn permission_of_held(&self, service: &ServiceName, held: &Held) -> Permission {
+    fn permission_of_quarantined(
+        &self,
+        service: &ServiceName,
+        quarantined: &QuarantinedRequest,
+    ) -> Permission {
         let now_ms = self.table.now_ms().unwrap_or_default();
-        let since_crash = Duration::from_millis(now_ms.saturating_sub(held.last_ms));
-        let left = self.hold.saturating_sub(since_crash);
-        if left.is_zero() {
+        let since_crash = Duration::from_millis(now_ms.saturating_sub(quarantined.last_crash_ms));
+        let remaining = self.retention.saturating_sub(since_crash);
+        if remaining.is_zero() {
             return Permission::OneAtATime;
         }
-        let pause_left = TRIAL_PAUSE.saturating_sub(since_crash);
-        let may_be_tried = !held.is_clear || self.runs_other_software(service, held);
-        match (may_be_tried, pause_left.is_zero()) {
+        let delay_remaining = TRIAL_DELAY.saturating_sub(since_crash);
+        let may_be_tried =
+            !quarantined.is_sole_suspect || self.runs_other_software(service, quarantined);
+        match (may_be_tried, delay_remaining.is_zero()) {
             (true, true) => Permission::OnTrial,
-            (true, false) => Permission::Held {
-                crashes: held.crashes,
-                left: pause_left,
+            (true, false) => Permission::Quarantined {
+                crashes: quarantined.crashes,
+                remaining: delay_remaining,
             },
-            (false, _) => Permission::Held {
-                crashes: held.crashes,
-                left,
+            (false, _) => Permission::Quarantined {
+                crashes: quarantined.crashes,
+                remaining,
             },
         }
     }
 
     /// True if every back end that takes work runs software that has not crashed under the
-    /// request: the fault may be mended. Weights are no reason: there are new ones every few
-    /// seconds to minutes, and each would cost a back end.
-    fn runs_other_software(&self, service: &ServiceName, held: &Held) -> bool {
+    /// request, so that the fault may be fixed. Weight versions do not count: they change too
+    /// often, and each trial may crash a back end.
+    fn runs_other_software(&self, service: &ServiceName, quarantined: &QuarantinedRequest) -> bool {
         let in_use = self.software_in_use(service);
-        let in_use = in_use.filter(|in_use| !in_use.is_empty() && !held.software.is_empty());
-        in_use.is_some_and(|in_use| in_use.is_disjoint(&held.software))
+        let in_use = in_use.filter(|in_use| !in_use.is_empty() && !quarantined.software.is_empty());
+        in_use.is_some_and(|in_use| in_use.is_disjoint(&quarantined.software))
     }
 }
--- a/crates/sloetrail-serving/src/service_pools.rs
+++ b/crates/sloetrail-serving/src/service_pools.rs
@@ -12,7 +12,7 @@
 use crate::settings::ServingSettings;
 use crate::slot_waiter::{ServiceSlotQueue, SlotWaiter};
 use crate::subset_demand::SubsetDemand;
-use crate::zone_work::{RunningInZone, WorkKind, ZoneWork};
+use crate::zone_work::{WorkKind, ZoneWork, ZoneWorkGuard};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use sloetrail_balance::{AttemptOutcome, LatencyQuantile, WorkClass, WorkTenant};
@@ -301,7 +301,7 @@
     tenant: WorkTenant,
     directory_version: RowVersion,
     is_ended: bool,
-    _running: RunningInZone,
+    _running: ZoneWorkGuard,
 }
 
 impl SlotPermit {
--- a/crates/sloetrail-serving/tests/support/fragile.rs
+++ b/crates/sloetrail-serving/tests/support/fragile.rs
@@ -1,4 +1,4 @@
-//! A cluster whose back ends crash under one request, and are replaced.
+//! A cluster whose back ends crash under one request and are replaced.
 
 use super::native_cluster;
 use http::Method;
@@ -10,27 +10,26 @@
 
 /// The body of the request under which back ends crash.
 pub const LETHAL: &str = "a reading that ends its server";
-/// Back ends that one request may end: after the third its repeats are kept from further ones,
-/// and an attempt may be on its way when the third ends.
-pub const CRASHES_MOST: usize = 4;
+/// Back ends that one request may crash: it is quarantined after the third, and one more attempt
+/// may be in flight then.
+pub const MAX_CRASHES: usize = 4;
 
 /// A cluster whose applications crash under one request.
 pub struct FragileCluster {
-    /// The cluster.
     pub cluster: Cluster,
-    /// The software of applications that start from now on.
+    /// The software version of applications that are started from now on.
     pub software: &'static str,
     replaced: usize,
 }
 
 impl FragileCluster {
-    /// So many nodes and four applications.
+    /// Starts a cluster of `nodes` nodes and four applications.
     pub async fn start(nodes: usize) -> Self {
-        Self::around(native_cluster(), nodes).await
+        Self::with_cluster(native_cluster(), nodes).await
     }
 
-    /// The same with a cluster that was made before.
-    pub async fn around(cluster: Cluster, nodes: usize) -> Self {
+    /// Adds nodes and four applications to an existing cluster.
+    pub async fn with_cluster(cluster: Cluster, nodes: usize) -> Self {
         let mut fragile = Self {
             cluster,
             software: "v1",
@@ -59,14 +58,13 @@
         self.cluster.list(&application);
     }
 
-    /// Sends a request to a node.
-    pub async fn ask(&self, node: usize, path: &str, id: &str, body: &str) -> Answer {
-        let answer = self.sending(node, path, id, body).await;
+    pub async fn send_request(&self, node: usize, path: &str, id: &str, body: &str) -> Answer {
+        let answer = self.start_request(node, path, id, body).await;
         answer.expect("an answer")
     }
 
-    /// The sending of a request to a node; nothing if no answer comes.
-    pub fn sending(
+    /// Returns a future that sends a request to a node. None if no answer comes.
+    pub fn start_request(
         &self,
         node: usize,
         path: &str,
@@ -82,52 +80,51 @@
         async move { call.send(address).await }
     }
 
-    /// Sends the lethal request to the nodes in turn, and replaces what crashes, until it has
-    /// ended three back ends.
-    pub async fn end_three(&mut self, path: &str) {
+    /// Sends the lethal request to the nodes in turn until it has crashed three back ends,
+    /// and replaces each.
+    pub async fn crash_three(&mut self, path: &str) {
         let nodes = self.cluster.nodes.len();
         for number in 0..6 {
-            if self.crashed() >= 3 {
+            if self.crash_count() >= 3 {
                 return;
             }
             let id = format!("first-{number}");
-            self.ask(number % nodes, path, &id, LETHAL).await;
+            self.send_request(number % nodes, path, &id, LETHAL).await;
             self.replace_crashed().await;
         }
-        panic!("{} back ends have crashed", self.crashed());
+        panic!("{} back ends have crashed", self.crash_count());
     }
 
-    /// The applications that have crashed.
-    pub fn crashed(&self) -> usize {
-        self.crashed_ones().len()
+    pub fn crash_count(&self) -> usize {
+        self.crashed_applications().len()
     }
 
-    fn crashed_ones(&self) -> Vec<Arc<EngineStandIn>> {
+    fn crashed_applications(&self) -> Vec<Arc<EngineStandIn>> {
         let engines = self.cluster.engines.iter();
-        let crashed = engines.filter(|engine| engine.has_crashed());
-        crashed.cloned().collect()
+        let crash_count = engines.filter(|engine| engine.has_crashed());
+        crash_count.cloned().collect()
     }
 
-    /// Takes the applications that have crashed off the directory.
+    /// Removes the crashed applications from the directory.
     pub fn unlist_crashed(&self) {
-        for application in self.crashed_ones() {
+        for application in self.crashed_applications() {
             self.cluster.unlist(&application);
         }
     }
 
-    /// Replaces the applications that have crashed, and waits until each node is served again.
+    /// Replaces the crashed applications, and waits until each node serves requests again.
     pub async fn replace_crashed(&mut self) {
         self.unlist_crashed();
-        let crashed = self.crashed();
-        for _ in self.replaced..crashed {
+        let crash_count = self.crash_count();
+        for _ in self.replaced..crash_count {
             self.add_application().await;
         }
-        self.replaced = crashed;
+        self.replaced = crash_count;
         self.wait_served().await;
     }
 
-    /// Replaces every application by one of other software.
-    pub async fn release_software(&mut self, software: &'static str) {
+    /// Replaces every application by one with another software version.
+    pub async fn replace_software(&mut self, software: &'static str) {
         self.software = software;
         for engine in self.cluster.engines.clone() {
             self.cluster.unlist(&engine);
@@ -142,31 +139,33 @@
     pub async fn wait_served(&self) {
         for node in 0..self.cluster.nodes.len() {
             let is_served = || async {
-                let answer = self.ask(node, "/live/x", "sound", "another reading").await;
+                let answer = self
+                    .send_request(node, "/live/x", "sound", "another reading")
+                    .await;
                 (answer.status == 200).then_some(())
             };
             eventually("other requests are served", is_served).await;
         }
     }
 
-    /// Runs of a request at all back ends.
+    /// Counts the runs of a request at all back ends.
     pub fn runs_of(&self, id: &str) -> usize {
         let engines = self.cluster.engines.iter();
         engines.map(|engine| engine.runs_of(id).len()).sum()
     }
 
-    /// Waits until the node refuses the lethal request without sending it on.
-    pub async fn wait_held(&self, node: usize, path: &str) {
-        let is_held = || async {
-            let answer = self.ask(node, path, "asked", LETHAL).await;
-            (answer.json()["code"] == HELD).then_some(())
+    /// Waits until the node refuses the lethal request as quarantined.
+    pub async fn wait_quarantined(&self, node: usize, path: &str) {
+        let is_quarantined = || async {
+            let answer = self.send_request(node, path, "asked", LETHAL).await;
+            (answer.json()["code"] == REQUEST_QUARANTINED).then_some(())
         };
-        eventually("the request is held", is_held).await;
+        eventually("the request is quarantined", is_quarantined).await;
     }
 }
 
-/// The code of a request that is kept from back ends.
-pub const HELD: u16 = 1111;
+/// The result code of a quarantined request.
+pub const REQUEST_QUARANTINED: u16 = 1111;
 
-/// How long news of a crash may take from one node to the others where nothing is slow.
-pub const NEWS_TIME: Duration = Duration::from_millis(500);
+/// Time within which a crash report reaches all nodes if nothing is delayed.
+pub const REPORT_PROPAGATION_TIME: Duration = Duration::from_millis(500);
