--- a/crates/sloetrail-serving/src/quarantine/crash_watch.rs
+++ b/crates/sloetrail-serving/src/quarantine/crash_watch.rs
@@ -190,7 +190,7 @@
         let mut seen = probe_listener(back_end.address).await;
         if seen == Listening::Yes {
             tokio::time::sleep(SECOND_PROBE_DELAY).await;
-            seen = look_at(back_end.address).await;
+            seen = probe_listener(back_end.address).await;
         }
         if seen != Listening::No {
             let mut state = self.state.lock().expect("not poisoned");
