--- a/crates/sloetrail-serving-testkit/src/usage.rs
+++ b/crates/sloetrail-serving-testkit/src/usage.rs
@@ -114,7 +114,7 @@
         });
         match fault {
             ReportFault::None => ReportAnswer::Accepted,
-            ReportFault::TakenUnanswered | ReportFault::Away => ReportAnswer::NotNow,
+            ReportFault::TakenUnanswered | ReportFault::Away => ReportAnswer::RetryLater,
             ReportFault::Refused => ReportAnswer::Refused(400),
         }
     }
--- a/crates/sloetrail-serving/src/gateway/live.rs
+++ b/crates/sloetrail-serving/src/gateway/live.rs
@@ -15,7 +15,7 @@
 use crate::service_pools::SlotPermit;
 use crate::slot_waiter::SlotWaiter;
 use crate::telemetry;
-use crate::usage::BegunRequest;
+use crate::usage::CountedRequest;
 use futures_util::StreamExt;
 use futures_util::future::BoxFuture;
 use futures_util::stream::FuturesUnordered;
@@ -89,7 +89,7 @@
     last_failure: Option<(WholeAnswer, EngineId)>,
     last_result: Option<&'static str>,
     /// The request's entry in the tenant's usage.
-    counted: Option<BegunRequest>,
+    counted: Option<CountedRequest>,
     quarantine_permit: Passage,
 }
 
@@ -118,9 +118,9 @@
     }
 
     /// Returns the request's entry in the tenant's usage, if it has a tenant and usage is counted.
-    pub(crate) fn counted_request(&self) -> Option<BegunRequest> {
+    pub(crate) fn counted_request(&self) -> Option<CountedRequest> {
         let usage = self.context.usage.as_ref()?;
-        Some(BegunRequest::new(usage, self.tenant.as_ref()?))
+        Some(CountedRequest::new(usage, self.tenant.as_ref()?))
     }
 
     /// Records in the claim that the request is about to be sent.
--- a/crates/sloetrail-serving/src/gateway/stream.rs
+++ b/crates/sloetrail-serving/src/gateway/stream.rs
@@ -19,7 +19,7 @@
 use crate::quarantine::{Passage, RunWatch};
 use crate::service_pools::SlotPermit;
 use crate::slot_waiter::SlotWaiter;
-use crate::usage::BegunRequest;
+use crate::usage::CountedRequest;
 use bytes::Bytes;
 use futures_util::StreamExt;
 use futures_util::stream::{self, BoxStream};
@@ -119,7 +119,7 @@
     last_event: Option<u64>,
     has_forwarded_events: bool,
     /// The request's entry in the tenant's usage, which starts with the first event.
-    counted: Option<BegunRequest>,
+    counted: Option<CountedRequest>,
     quarantine_permit: Passage,
 }
 
--- a/crates/sloetrail-serving/src/node.rs
+++ b/crates/sloetrail-serving/src/node.rs
@@ -24,7 +24,7 @@
 use crate::supervisor::supervise;
 use crate::table::Table;
 use crate::telemetry::{self, Beliefs};
-use crate::usage::{NodeUsage, UsageRecipient, UsageWork};
+use crate::usage::{NodeUsage, UsageRecipient, UsageReportTask};
 use crate::zone_work::ZoneWork;
 use http::StatusCode;
 use sloetrail_clock::BootInstant;
@@ -165,7 +165,7 @@
         }
         if let Some(usage) = &self.context.usage {
             // What cannot be handed over in time is lost, as when the node is killed.
-            let _ = tokio::time::timeout(USAGE_HAND_OVER, usage.hand_over()).await;
+            let _ = tokio::time::timeout(USAGE_HAND_OVER, usage.flush()).await;
         }
         events::emit(&Event::NodeStopped {
             requests: self.callers.requests(),
@@ -177,10 +177,10 @@
 fn start_usage(
     context: &Arc<NodeContext>,
     recipient: Arc<dyn UsageRecipient>,
-) -> Option<UsageWork> {
+) -> Option<UsageReportTask> {
     let usage = Arc::clone(context.usage.as_ref()?);
     tokio::spawn(Arc::clone(&usage).run());
-    Some(UsageWork {
+    Some(UsageReportTask {
         context: Arc::clone(context),
         usage,
         recipient,
--- a/crates/sloetrail-serving/src/relay/peers.rs
+++ b/crates/sloetrail-serving/src/relay/peers.rs
@@ -9,7 +9,7 @@
 use crate::rows;
 use crate::settings::ServingSettings;
 use crate::table::{KeyRange, ReadError, Table, Transaction, scan_all};
-use crate::usage::seen_lead;
+use crate::usage::measured_offset;
 use bytes::Bytes;
 use http::header::HOST;
 use http::{HeaderValue, Method, Request};
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::{Distance, NodeId, RegionName, Topology, ZoneName};
-use sloetrail_usage::ClockLead;
+use sloetrail_usage::ClockOffset;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -63,7 +63,7 @@
     /// How far wall-clock time is ahead of the table's clock on this node. None until that
     /// clock is known.
     #[serde(default)]
-    pub(super) clock_lead: Option<ClockLead>,
+    pub(super) clock_lead: Option<ClockOffset>,
     /// Usual response time of the table in microseconds. None until some time after the start.
     #[serde(default)]
     pub(super) table_time_us: Option<u64>,
@@ -73,7 +73,7 @@
 pub(super) async fn register(table: Arc<dyn Table>, node: String, mut entry: PeerEntry) {
     let started_at = BootInstant::now();
     loop {
-        entry.clock_lead = seen_lead(&*table);
+        entry.clock_lead = measured_offset(&*table);
         let is_settled = started_at.elapsed() >= SETTLING_DELAY;
         let table_time = table.ordinary_time().as_micros() as u64;
         entry.table_time_us = is_settled.then_some(table_time);
@@ -91,7 +91,7 @@
 }
 
 /// Returns how far wall-clock time is ahead of the table's clock on each node.
-pub(crate) async fn read_clock_leads(table: &dyn Table) -> Result<Vec<ClockLead>, ReadError> {
+pub(crate) async fn read_clock_leads(table: &dyn Table) -> Result<Vec<ClockOffset>, ReadError> {
     let page = scan_all(table, KeyRange::all(rows::NODES, rows::NODES)).await?;
     let entries = page.rows.iter();
     let entries = entries.filter_map(|row| serde_json::from_slice::<PeerEntry>(&row.value).ok());
--- a/crates/sloetrail-serving/src/supervisor.rs
+++ b/crates/sloetrail-serving/src/supervisor.rs
@@ -4,7 +4,7 @@
 use crate::events::{self, Event};
 use crate::leases::{BatchSet, LeaseManager, LeaseResource, LeaseTask};
 use crate::owner::BatchOwnerTask;
-use crate::usage::UsageWork;
+use crate::usage::UsageReportTask;
 use sloetrail_routing::ServingConfiguration;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 /// lease up. `usage` is present where usage is to be reported.
 pub(crate) async fn supervise(
     context: Arc<NodeContext>,
-    usage: Option<UsageWork>,
+    usage: Option<UsageReportTask>,
     stopping: CancellationToken,
 ) {
     let mut keepers: HashMap<LeaseResource, JoinHandle<()>> = HashMap::new();
--- a/crates/sloetrail-serving/src/usage/begun_request.rs
+++ b/crates/sloetrail-serving/src/usage/counted_request.rs
@@ -1,7 +1,7 @@
 //! Whether a live request began at a back end, and when.
 
 use super::NodeUsage;
-use super::node_usage::OpenRequest;
+use super::node_usage::OpenRequestId;
 use sloetrail_clock::BootInstant;
 use sloetrail_types::TenantName;
 use std::sync::Arc;
@@ -9,15 +9,15 @@
 /// Counts one live request, once, if a back end may have begun it: when it is dropped, or
 /// before if it goes on for long. A caller that leaves early drops it too: what was begun
 /// for it is counted.
-pub(crate) struct BegunRequest {
+pub(crate) struct CountedRequest {
     usage: Arc<NodeUsage>,
     tenant: TenantName,
     /// By number, when the sends began that may have reached a back end.
     sends: Vec<(usize, BootInstant)>,
-    open: Option<OpenRequest>,
+    open: Option<OpenRequestId>,
 }
 
-impl BegunRequest {
+impl CountedRequest {
     /// A request that has not been sent anywhere.
     pub(crate) fn new(usage: &Arc<NodeUsage>, tenant: &TenantName) -> Self {
         Self {
@@ -33,17 +33,17 @@
     pub(crate) fn sent(&mut self, send: usize) {
         if self.sends.iter().all(|(number, _)| *number != send) {
             self.sends.push((send, BootInstant::now()));
-            self.note_open();
+            self.update_open();
         }
     }
 
     /// It is proved that this send was not run.
     pub(crate) fn not_run(&mut self, send: usize) {
         self.sends.retain(|(number, _)| *number != send);
-        self.note_open();
+        self.update_open();
     }
 
-    fn note_open(&mut self) {
+    fn update_open(&mut self) {
         if let Some(open) = self.open.take() {
             self.usage.forget(open);
         }
@@ -52,7 +52,7 @@
     }
 }
 
-impl Drop for BegunRequest {
+impl Drop for CountedRequest {
     fn drop(&mut self) {
         if let Some(open) = self.open.take() {
             self.usage.count(open);
--- a/crates/sloetrail-serving/src/usage/mod.rs
+++ b/crates/sloetrail-serving/src/usage/mod.rs
@@ -9,14 +9,14 @@
 //!
 //! Items of batches and reward calls are not counted.
 
-mod begun_request;
+mod counted_request;
 mod node_usage;
 mod recipient;
 mod reporter;
 mod wall_clock;
 
-pub(crate) use begun_request::BegunRequest;
+pub(crate) use counted_request::CountedRequest;
 pub(crate) use node_usage::NodeUsage;
 pub use recipient::{ReportAnswer, UsageRecipient};
-pub(crate) use reporter::UsageWork;
-pub(crate) use wall_clock::seen_lead;
+pub(crate) use reporter::UsageReportTask;
+pub(crate) use wall_clock::measured_offset;
--- a/crates/sloetrail-serving/src/usage/node_usage.rs
+++ b/crates/sloetrail-serving/src/usage/node_usage.rs
@@ -1,6 +1,6 @@
 //! What this node counts, and how it hands it over.
 
-use super::wall_clock::lead_in;
+use super::wall_clock::agreed_offset;
 use crate::events::{self, Event};
 use crate::follow::{FleetSize, ViewReceiver};
 use crate::retry_pause::RetryPause;
@@ -17,18 +17,18 @@
 
 /// What was counted is handed over this often on a small fleet: a node that is killed
 /// loses what it counted since.
-const HAND_OVER_LEAST: Duration = Duration::from_millis(250);
+const MIN_FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 /// The time grows with the fleet, so that the nodes together write about 150 times a second.
 /// There are about half as many back ends as nodes on the smaller fleets of the operators.
-const HAND_OVER_PER_BACK_END: Duration = Duration::from_millis(8);
+const FLUSH_INTERVAL_PER_BACK_END: Duration = Duration::from_millis(8);
 /// A report waits 4.5 s for the pieces of its window.
-const HAND_OVER_MOST: Duration = Duration::from_millis(2_000);
+const MAX_FLUSH_INTERVAL: Duration = Duration::from_millis(2_000);
 /// Requests that are remembered until the clock is agreed on. They come within seconds.
-const REMEMBERED_MOST: usize = 50_000;
-const WRITES_A_ROUND: usize = 50;
+const MAX_PENDING_REQUESTS: usize = 50_000;
+const MAX_PIECES_PER_TRANSACTION: usize = 50;
 /// A request that goes on for longer than this part of the time for which reports wait is
 /// counted while it does: its report would not wait for its end.
-const LONG_PART: u32 = 2;
+const LONG_REQUEST_DIVISOR: u32 = 2;
 
 /// What this node counts.
 pub(crate) struct NodeUsage {
@@ -39,40 +39,40 @@
     fleet: FleetSize,
     state: Mutex<State>,
     /// One hand-over at a time, so that the last one before a stop leaves nothing out.
-    handing_over: tokio::sync::Mutex<VecDeque<UsagePiece>>,
+    flush_queue: tokio::sync::Mutex<VecDeque<UsagePiece>>,
 }
 
 /// A request that began and is not counted yet.
 #[derive(Debug, PartialEq, Eq, Hash)]
-pub(super) struct OpenRequest(u64);
+pub(super) struct OpenRequestId(u64);
 
 #[derive(Default)]
 struct State {
     counter: UsageCounter,
     /// Requests that began and have not ended.
-    open: HashMap<OpenRequest, (BootInstant, TenantName)>,
-    next_open: u64,
+    open: HashMap<OpenRequestId, (BootInstant, TenantName)>,
+    next_open_id: u64,
     /// Requests to be counted as soon as the clock is known.
-    remembered: VecDeque<(BootInstant, TenantName)>,
+    pending: VecDeque<(BootInstant, TenantName)>,
 }
 
 impl State {
-    fn remember(&mut self, request: (BootInstant, TenantName)) {
-        self.remembered.push_back(request);
-        if self.remembered.len() > REMEMBERED_MOST {
-            self.remembered.pop_front();
+    fn add_pending(&mut self, request: (BootInstant, TenantName)) {
+        self.pending.push_back(request);
+        if self.pending.len() > MAX_PENDING_REQUESTS {
+            self.pending.pop_front();
             telemetry::usage_forgotten();
         }
     }
 
     /// Remembers those that have been open since before a moment.
-    fn remember_open_since(&mut self, moment: BootInstant) {
+    fn move_open_since(&mut self, moment: BootInstant) {
         let open = std::mem::take(&mut self.open);
-        let is_long = |request: &(OpenRequest, (BootInstant, TenantName))| request.1.0 <= moment;
+        let is_long = |request: &(OpenRequestId, (BootInstant, TenantName))| request.1.0 <= moment;
         let (long, short): (Vec<_>, Vec<_>) = open.into_iter().partition(is_long);
         self.open = short.into_iter().collect();
         for (_, request) in long {
-            self.remember(request);
+            self.add_pending(request);
         }
     }
 }
@@ -93,7 +93,7 @@
             leases,
             fleet,
             state: Mutex::default(),
-            handing_over: tokio::sync::Mutex::default(),
+            flush_queue: tokio::sync::Mutex::default(),
         })
     }
 
@@ -105,49 +105,49 @@
     /// Wall-clock time, in milliseconds since 1970, as the nodes agree on it; nothing
     /// before they do.
     pub(crate) fn wall_ms(&self) -> Option<u64> {
-        let lead = lead_in(&self.leases.borrow())?;
+        let lead = agreed_offset(&self.leases.borrow())?;
         Some(lead.wall_ms(self.table.now_ms()?))
     }
 
     /// A request of a tenant began at this moment.
-    pub(super) fn begin(&self, tenant: &TenantName, began: BootInstant) -> OpenRequest {
+    pub(super) fn begin(&self, tenant: &TenantName, began: BootInstant) -> OpenRequestId {
         let mut state = self.state();
-        let number = state.next_open;
-        state.next_open += 1;
+        let number = state.next_open_id;
+        state.next_open_id += 1;
         state
             .open
-            .insert(OpenRequest(number), (began, tenant.clone()));
-        OpenRequest(number)
+            .insert(OpenRequestId(number), (began, tenant.clone()));
+        OpenRequestId(number)
     }
 
     /// It did not begin after all.
-    pub(super) fn forget(&self, request: OpenRequest) {
+    pub(super) fn forget(&self, request: OpenRequestId) {
         self.state().open.remove(&request);
     }
 
     /// It has ended and is to be counted, unless it was already.
-    pub(super) fn count(&self, request: OpenRequest) {
+    pub(super) fn count(&self, request: OpenRequestId) {
         let mut state = self.state();
         if let Some(request) = state.open.remove(&request) {
-            state.remember(request);
+            state.add_pending(request);
         }
     }
 
     /// Hands what was counted over to the table again and again.
     pub(crate) async fn run(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(self.hand_over_period()).await;
-            self.hand_over().await;
+            tokio::time::sleep(self.flush_interval()).await;
+            self.flush().await;
         }
     }
 
     /// Hands all over that was counted, however long the table is away.
-    pub(crate) async fn hand_over(&self) {
-        let mut waiting = self.handing_over.lock().await;
+    pub(crate) async fn flush(&self) {
+        let mut waiting = self.flush_queue.lock().await;
         waiting.extend(self.take_pieces());
         let mut retry = RetryPause::new();
         while !waiting.is_empty() {
-            let count = waiting.len().min(WRITES_A_ROUND);
+            let count = waiting.len().min(MAX_PIECES_PER_TRANSACTION);
             let transaction = self.transaction(waiting.iter().take(count));
             match self.table.commit(&transaction).await {
                 Ok(Commit::Done(_)) => {
@@ -162,10 +162,10 @@
         }
     }
 
-    fn hand_over_period(&self) -> Duration {
+    fn flush_interval(&self) -> Duration {
         let back_ends = u32::try_from(self.fleet.back_ends()).unwrap_or(u32::MAX);
-        let grown = HAND_OVER_PER_BACK_END.saturating_mul(back_ends);
-        grown.clamp(HAND_OVER_LEAST, HAND_OVER_MOST)
+        let grown = FLUSH_INTERVAL_PER_BACK_END.saturating_mul(back_ends);
+        grown.clamp(MIN_FLUSH_INTERVAL, MAX_FLUSH_INTERVAL)
     }
 
     /// A piece that is written twice is the same both times.
@@ -185,10 +185,10 @@
         };
         let windows = self.schedule.windows();
         let mut state = self.state();
-        if let Some(moment) = now.checked_sub(self.schedule.settle_time() / LONG_PART) {
-            state.remember_open_since(moment);
+        if let Some(moment) = now.checked_sub(self.schedule.settle_time() / LONG_REQUEST_DIVISOR) {
+            state.move_open_since(moment);
         }
-        for (began, tenant) in std::mem::take(&mut state.remembered) {
+        for (began, tenant) in std::mem::take(&mut state.pending) {
             let age = now.saturating_duration_since(began).as_millis() as u64;
             let window = windows.at(wall_ms.saturating_sub(age));
             state.counter.count(window, &tenant);
--- a/crates/sloetrail-serving/src/usage/recipient.rs
+++ b/crates/sloetrail-serving/src/usage/recipient.rs
@@ -15,17 +15,17 @@
     /// It will never be taken as it is; the status.
     Refused(u16),
     /// It was not taken now, or nothing was answered: the same is to be sent again.
-    NotNow,
+    RetryLater,
 }
 
 impl ReportAnswer {
     /// A word for logs and metrics.
-    pub(crate) fn word(self) -> &'static str {
+    pub(crate) fn as_str(self) -> &'static str {
         match self {
             ReportAnswer::Accepted => "accepted",
             ReportAnswer::Fenced => "fenced",
             ReportAnswer::Refused(_) => "refused",
-            ReportAnswer::NotNow => "not now",
+            ReportAnswer::RetryLater => "not now",
         }
     }
 
@@ -33,7 +33,7 @@
     pub(crate) fn status(self) -> Option<u16> {
         match self {
             ReportAnswer::Refused(status) => Some(status),
-            ReportAnswer::Accepted | ReportAnswer::Fenced | ReportAnswer::NotNow => None,
+            ReportAnswer::Accepted | ReportAnswer::Fenced | ReportAnswer::RetryLater => None,
         }
     }
 }
@@ -47,6 +47,6 @@
         &self,
         report: &UsageReport,
         holder: &LeaseHolder,
-        patience: Duration,
+        timeout: Duration,
     ) -> ReportAnswer;
 }
--- a/crates/sloetrail-serving/src/usage/reporter.rs
+++ b/crates/sloetrail-serving/src/usage/reporter.rs
@@ -8,7 +8,7 @@
 
 use super::node_usage::decode_piece;
 use super::recipient::ReportAnswer;
-use super::wall_clock::{lead_in, seen_lead};
+use super::wall_clock::{agreed_offset, measured_offset};
 use super::{NodeUsage, UsageRecipient};
 use crate::context::NodeContext;
 use crate::events::{self, Event};
@@ -20,30 +20,32 @@
 use futures_util::future::BoxFuture;
 use sloetrail_clock::BootInstant;
 use sloetrail_types::RowVersion;
-use sloetrail_usage::{ReportSchedule, Turn, UsagePiece, UsageReport, WindowNumber, agreed_lead};
+use sloetrail_usage::{
+    ReportAction, ReportSchedule, UsagePiece, UsageReport, WindowNumber, median_offset,
+};
 use std::sync::Arc;
 use std::time::Duration;
 
 /// How long a step of this holder waits at most, and after a failure.
-const STEP: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// How long an answer to a report may take. It must come within the order window.
-const REPORT_PATIENCE: Duration = Duration::from_millis(700);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(700);
 /// The pause after a report that was not taken, and its bound: calls have a price, and
 /// what takes them is away for seconds.
-const RETRY_FIRST: Duration = Duration::from_millis(200);
-const RETRY_LONGEST: Duration = Duration::from_millis(1_000);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 /// How often the agreed clock is looked at. Two clocks drift apart by under 0.1 ms a
 /// second.
-const CLOCK_PERIOD: Duration = Duration::from_secs(600);
+const CLOCK_CHECK_INTERVAL: Duration = Duration::from_secs(600);
 /// How soon it is looked at again at the beginning of a term: nodes that start together
 /// have not all told what they see when the first of them holds the lease.
-const CLOCK_PERIOD_FIRST: Duration = Duration::from_secs(4);
+const INITIAL_CLOCK_CHECK_INTERVAL: Duration = Duration::from_secs(4);
 /// The agreed clock is changed only if it is off by more than this: nodes count by what
 /// they know of it, and a change puts a few requests into the window beside theirs.
 const CLOCK_TOLERANCE_MS: u64 = 50;
 
 /// What the holder of the reports' lease does.
-pub(crate) struct UsageWork {
+pub(crate) struct UsageReportTask {
     /// The node's parts.
     pub(crate) context: Arc<NodeContext>,
     /// What this node counts.
@@ -52,7 +54,7 @@
     pub(crate) recipient: Arc<dyn UsageRecipient>,
 }
 
-impl LeaseTask for UsageWork {
+impl LeaseTask for UsageReportTask {
     fn run(&self, term: Term) -> BoxFuture<'static, ()> {
         let reporter = UsageReporter {
             schedule: self.usage.schedule(),
@@ -102,34 +104,34 @@
     }
 
     async fn report_windows(&mut self) {
-        if let Some(last) = self.read_last().await {
+        if let Some(last) = self.read_committed().await {
             // The holder before may not have heard whether it was taken.
             self.send(&last).await;
             self.next = Some(last.window.next());
         }
         loop {
             self.agree_on_clock().await;
-            match self.turn() {
-                Turn::Wait(time) => self.pause(time.min(STEP)).await,
-                Turn::Report(window) => match self.commit_report(window).await {
+            match self.next_action() {
+                ReportAction::Wait(time) => self.pause(time.min(POLL_INTERVAL)).await,
+                ReportAction::Report(window) => match self.commit_report(window).await {
                     Some(report) => {
                         self.send(&report).await;
                         self.next = Some(window.next());
                     }
-                    None => self.pause(STEP).await,
+                    None => self.pause(POLL_INTERVAL).await,
                 },
             }
         }
     }
 
-    fn turn(&mut self) -> Turn {
+    fn next_action(&mut self) -> ReportAction {
         let Some(wall_ms) = self.usage.wall_ms() else {
-            return Turn::Wait(STEP);
+            return ReportAction::Wait(POLL_INTERVAL);
         };
         let first = self.schedule.first(wall_ms);
         let window = *self.next.get_or_insert(first);
         let answering_for = self.answering_since.elapsed();
-        self.schedule.turn(window, wall_ms, answering_for)
+        self.schedule.next_action(window, wall_ms, answering_for)
     }
 
     async fn pause(&mut self, time: Duration) {
@@ -141,22 +143,22 @@
 
     /// The report that was committed last, by whatever holder; waits for the table. A row
     /// that cannot be read ends the term: without it a window could be told twice.
-    async fn read_last(&mut self) -> Option<UsageReport> {
+    async fn read_committed(&mut self) -> Option<UsageReport> {
         loop {
             let row = read_row(&*self.context.table, &rows::usage_report()).await;
             match row {
                 Ok(None) => return None,
-                Ok(Some(row)) => match self.take_row(&row) {
+                Ok(Some(row)) => match self.accept_row(&row) {
                     Some(report) => return Some(report),
                     None => self.term.ended.cancel(),
                 },
                 Err(_) => {}
             }
-            self.pause(STEP).await;
+            self.pause(POLL_INTERVAL).await;
         }
     }
 
-    fn take_row(&mut self, row: &Row) -> Option<UsageReport> {
+    fn accept_row(&mut self, row: &Row) -> Option<UsageReport> {
         self.row_version = Some(row.version);
         match serde_json::from_slice(&row.value) {
             Ok(report) => Some(report),
@@ -177,7 +179,7 @@
         let range = rows::usage_pieces_until(window);
         let page = scan_all(&*self.context.table, range).await.ok()?;
         let pieces = pieces_in(&page);
-        let report = UsageReport::of_pieces(window, &pieces);
+        let report = UsageReport::from_pieces(window, &pieces);
         let value = serde_json::to_vec(&report).unwrap_or_default();
         let address = rows::usage_report();
         let transaction = self.term.transaction();
@@ -187,7 +189,7 @@
             .table
             .commit(&transaction.put(address, value))
             .await;
-        let counted = report.requests();
+        let counted = report.total_requests();
         let committed = match commit {
             Ok(Commit::Done(version)) => {
                 self.row_version = Some(version);
@@ -198,8 +200,8 @@
             Err(_) => return None,
         };
         // An earlier attempt was committed before the last pieces came.
-        let too_late = counted.saturating_sub(committed.requests());
-        tell_left(window, &pieces, too_late);
+        let too_late = counted.saturating_sub(committed.total_requests());
+        log_uncounted(window, &pieces, too_late);
         self.delete_pieces(&page).await;
         Some(committed)
     }
@@ -210,7 +212,7 @@
         let address = rows::usage_report();
         let row = current.iter().find(|row| row.address == address);
         let is_own = row.is_some_and(|row| Some(row.version) != self.row_version);
-        let report = row.filter(|_| is_own).and_then(|row| self.take_row(row));
+        let report = row.filter(|_| is_own).and_then(|row| self.accept_row(row));
         let report = report.filter(|report| report.window == window);
         if report.is_none() {
             self.term.ended.cancel();
@@ -234,40 +236,37 @@
     /// Sends a committed report until it is taken, or will never be.
     async fn send(&mut self, report: &UsageReport) {
         let holder = self.term.holder(&self.context.settings);
-        let mut retry = RETRY_FIRST;
+        let mut retry = MIN_RETRY_DELAY;
         loop {
             if !self.order_window.is_open() {
                 self.order_window.open(&self.context, &self.term).await;
             }
             if self.order_window.is_open() {
-                let answer = self
-                    .recipient
-                    .report(report, &holder, REPORT_PATIENCE)
-                    .await;
-                self.tell_answer(report, answer);
+                let answer = self.recipient.report(report, &holder, REPORT_TIMEOUT).await;
+                self.log_answer(report, answer);
                 match answer {
                     ReportAnswer::Accepted | ReportAnswer::Refused(_) => return,
                     ReportAnswer::Fenced => self.term.ended.cancel(),
-                    ReportAnswer::NotNow => {}
+                    ReportAnswer::RetryLater => {}
                 }
             }
             self.pause(retry).await;
-            retry = (retry * 2).min(RETRY_LONGEST);
+            retry = (retry * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    fn tell_answer(&self, report: &UsageReport, answer: ReportAnswer) {
-        telemetry::usage_reported(answer.word());
+    fn log_answer(&self, report: &UsageReport, answer: ReportAnswer) {
+        telemetry::usage_reported(answer.as_str());
         let windows = self.schedule.windows();
         let end_ms = windows.end_ms(report.window);
         let wall_ms = self.usage.wall_ms().unwrap_or(end_ms);
         events::emit(&Event::UsageReported {
             window: report.window.0,
             tenants: report.counts.len(),
-            requests: report.requests(),
+            requests: report.total_requests(),
             epoch: self.term.epoch.0,
             after_end_ms: wall_ms.saturating_sub(end_ms),
-            outcome: answer.word(),
+            outcome: answer.as_str(),
             status: answer.status(),
         });
     }
@@ -275,8 +274,8 @@
     /// Sees now and then whether the agreed clock still fits what the nodes see.
     async fn agree_on_clock(&mut self) {
         let period = match self.clock_checks {
-            0 | 1 => CLOCK_PERIOD_FIRST,
-            _ => CLOCK_PERIOD,
+            0 | 1 => INITIAL_CLOCK_CHECK_INTERVAL,
+            _ => CLOCK_CHECK_INTERVAL,
         };
         let checked_at = self.clock_checked_at;
         if checked_at.is_some_and(|at| at.elapsed() < period) {
@@ -292,10 +291,10 @@
     async fn try_agree_on_clock(&self) -> Option<()> {
         let table = &*self.context.table;
         let mut seen = read_clock_leads(table).await.ok()?;
-        seen.extend(seen_lead(table));
+        seen.extend(measured_offset(table));
         let nodes = seen.len();
-        let agreed = agreed_lead(seen)?;
-        let known = lead_in(&self.context.leases.borrow());
+        let agreed = median_offset(seen)?;
+        let known = agreed_offset(&self.context.leases.borrow());
         if known.is_some_and(|known| known.distance(agreed) <= CLOCK_TOLERANCE_MS) {
             return Some(());
         }
@@ -320,7 +319,7 @@
 
 /// Tells of requests that came too late for their report: those of pieces of windows before
 /// this one, which an earlier holder may also have counted and not deleted, and others.
-fn tell_left(window: WindowNumber, pieces: &[UsagePiece], others: u64) {
+fn log_uncounted(window: WindowNumber, pieces: &[UsagePiece], others: u64) {
     let left = pieces.iter().filter(|piece| piece.window < window);
     let of_pieces: u64 = left.flat_map(|piece| piece.counts.values()).sum();
     let requests = of_pieces + others;
--- a/crates/sloetrail-serving/tests/cold.rs
+++ b/crates/sloetrail-serving/tests/cold.rs
@@ -7,7 +7,9 @@
 use sloetrail_serving_testkit::table::CommitFault;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use support::{lease_holder, live, most_in_a_second, native_cluster, submit_items, tolerance};
+use support::{
+    lease_holder, live, max_arrivals_per_second, native_cluster, submit_items, tolerance,
+};
 
 /// Requests per second that a cold back end can serve.
 const COLD_RATE_PER_S: usize = 8;
@@ -54,7 +56,7 @@
     submit_items(&cluster, 0, "b1", 40, 2).await;
     cluster.list(&engine);
     wait_for_arrivals(&engine, 3 * MAX_PER_SENDER).await;
-    let peak = most_in_a_second(engine.arrivals());
+    let peak = max_arrivals_per_second(engine.arrivals());
     assert!(
         peak <= MAX_PER_SENDER,
         "{peak} requests in a second, at most {MAX_PER_SENDER} allowed"
@@ -78,7 +80,7 @@
         later.count() >= 2 * MAX_PER_SENDER,
         "the next owner sends items too"
     );
-    let peak = most_in_a_second(arrivals);
+    let peak = max_arrivals_per_second(arrivals);
     assert!(
         peak <= MAX_PER_SECOND,
         "{peak} requests in a second, at most {MAX_PER_SECOND} allowed"
@@ -100,7 +102,7 @@
         cluster.list(&engine);
     }
     wait_for_arrivals(&engine, 2 * MAX_PER_SENDER).await;
-    let peak = most_in_a_second(engine.arrivals());
+    let peak = max_arrivals_per_second(engine.arrivals());
     assert!(
         peak <= MAX_PER_SENDER,
         "{peak} requests in a second, at most {MAX_PER_SENDER} allowed"
@@ -130,7 +132,7 @@
     let are_repeated = || async { (later().count() > 2 * MAX_PER_SENDER).then_some(()) };
     eventually("run requests are repeated", are_repeated).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let peak = most_in_a_second(later().collect());
+    let peak = max_arrivals_per_second(later().collect());
     assert!(
         peak <= MAX_PER_SENDER,
         "{peak} requests in a second, at most {MAX_PER_SENDER} allowed"
@@ -178,7 +180,7 @@
     tokio::time::sleep(PEER_DISCOVERY_TIME).await;
     let answered = request_every_node(&cluster, Duration::from_millis(2_500)).await;
     assert!(answered >= 3, "{answered} requests were answered with 200");
-    let peak = most_in_a_second(application.arrivals());
+    let peak = max_arrivals_per_second(application.arrivals());
     assert!(
         peak <= MAX_PER_SENDER,
         "{peak} requests in a second, at most {MAX_PER_SENDER} allowed"
--- a/crates/sloetrail-serving/tests/evacuation.rs
+++ b/crates/sloetrail-serving/tests/evacuation.rs
@@ -12,7 +12,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use support::{
-    assert_each_once, lease_holder, live, most_in_a_second, native_cluster, submit_items, tolerance,
+    assert_each_once, lease_holder, live, max_arrivals_per_second, native_cluster, submit_items,
+    tolerance,
 };
 
 /// The zone of the nodes.
@@ -173,7 +174,7 @@
             "work returns: {}",
             while_cold.len()
         );
-        let most = most_in_a_second(while_cold);
+        let most = max_arrivals_per_second(while_cold);
         assert!(most <= BEARS, "{most} of {BEARS} a second");
     }
     assert!(answered > BEARS, "{answered} live requests were served");
--- a/crates/sloetrail-serving/tests/support/mod.rs
+++ b/crates/sloetrail-serving/tests/support/mod.rs
@@ -116,7 +116,7 @@
 
 /// The most arrivals in any second.
 #[allow(dead_code, reason = "not every test file needs it")]
-pub fn most_in_a_second(mut arrivals: Vec<Instant>) -> usize {
+pub fn max_arrivals_per_second(mut arrivals: Vec<Instant>) -> usize {
     arrivals.sort();
     let within = |first: &Instant| {
         let second = *first..*first + Duration::from_secs(1);
--- a/crates/sloetrail-serving/tests/usage.rs
+++ b/crates/sloetrail-serving/tests/usage.rs
@@ -153,8 +153,8 @@
     }
     wait_reported(&book, "north", 6).await;
     let taken = book.taken();
-    let with_requests = taken.values().filter(|report| report.requests() > 0);
-    let counted = with_requests.map(|report| (report.window.0, report.requests()));
+    let with_requests = taken.values().filter(|report| report.total_requests() > 0);
+    let counted = with_requests.map(|report| (report.window.0, report.total_requests()));
     assert_eq!(counted.collect::<Vec<(u64, u64)>>(), expected);
 }
 
--- a/crates/sloetrail-usage/src/clock.rs
+++ b/crates/sloetrail-usage/src/clock.rs
@@ -5,9 +5,9 @@
 /// How far wall-clock time (milliseconds since 1970) is ahead of the table's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct ClockLead(pub i64);
+pub struct ClockOffset(pub i64);
 
-impl ClockLead {
+impl ClockOffset {
     /// The lead that a node sees: its own wall clock against the table's.
     pub fn between(wall_ms: u64, table_ms: u64) -> Self {
         Self(wall_ms as i64 - table_ms as i64)
@@ -26,7 +26,7 @@
 
 /// The lead that nodes agree on: the median of what each of them sees, which is right as
 /// long as most wall clocks are. Nothing if no node has told what it sees.
-pub fn agreed_lead(mut seen: Vec<ClockLead>) -> Option<ClockLead> {
+pub fn median_offset(mut seen: Vec<ClockOffset>) -> Option<ClockOffset> {
     seen.sort();
     let middle = seen.len() / 2;
     seen.get(middle).copied()
--- a/crates/sloetrail-usage/src/lib.rs
+++ b/crates/sloetrail-usage/src/lib.rs
@@ -4,7 +4,7 @@
 //! piece; one node adds the pieces of a window up ([`UsageReport`]) and hands the sum to
 //! whoever bills, at the time that [`ReportSchedule`] tells. All nodes tell windows apart
 //! ([`Windows`]) by the table's clock and by one agreed figure for how far wall-clock time
-//! is ahead of it ([`agreed_lead`]): a node's own wall clock may jump.
+//! is ahead of it ([`median_offset`]): a node's own wall clock may jump.
 //!
 //! Nothing here does I/O or reads a clock.
 
@@ -14,10 +14,10 @@
 mod schedule;
 mod window;
 
-pub use clock::{ClockLead, agreed_lead};
+pub use clock::{ClockOffset, median_offset};
 pub use counter::{TenantCounts, UsageCounter, UsagePiece};
 pub use report::UsageReport;
-pub use schedule::{ReportSchedule, Turn};
+pub use schedule::{ReportAction, ReportSchedule};
 pub use window::{WindowNumber, Windows};
 
 #[cfg(test)]
--- a/crates/sloetrail-usage/src/report.rs
+++ b/crates/sloetrail-usage/src/report.rs
@@ -15,7 +15,7 @@
 
 impl UsageReport {
     /// Adds up the pieces of a window; pieces of others are left out.
-    pub fn of_pieces<'a>(
+    pub fn from_pieces<'a>(
         window: WindowNumber,
         pieces: impl IntoIterator<Item = &'a UsagePiece>,
     ) -> Self {
@@ -29,7 +29,7 @@
     }
 
     /// All requests together.
-    pub fn requests(&self) -> u64 {
+    pub fn total_requests(&self) -> u64 {
         self.counts.values().sum()
     }
 }
--- a/crates/sloetrail-usage/src/schedule.rs
+++ b/crates/sloetrail-usage/src/schedule.rs
@@ -9,15 +9,15 @@
 
 /// Part of the time until a report is due for which pieces are waited for. Half of it and
 /// more is left for an outage of the table or of whoever takes the reports.
-const SETTLE_SHARE: f64 = 0.45;
+const SETTLE_FRACTION: f64 = 0.45;
 /// How long nodes need to hand over what they counted while the table was away.
-const CATCH_UP: Duration = Duration::from_millis(1_200);
+const RECOVERY_TIME: Duration = Duration::from_millis(1_200);
 /// A report leaves this much before it is due, whatever is still awaited.
 const DUE_MARGIN: Duration = Duration::from_millis(1_000);
 
 /// What to do about reports now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum ReportAction {
     /// This window is to be reported now.
     Report(WindowNumber),
     /// Nothing is to be reported for this long.
@@ -51,24 +51,29 @@
 
     /// How long after the end of a window pieces are waited for.
     pub fn settle_time(&self) -> Duration {
-        self.due_after.mul_f64(SETTLE_SHARE)
+        self.due_after.mul_f64(SETTLE_FRACTION)
     }
 
     /// Whether a window is to be reported now. `answering_for` is how long the table has
     /// been answering without a break.
-    pub fn turn(&self, window: WindowNumber, wall_ms: u64, answering_for: Duration) -> Turn {
+    pub fn next_action(
+        &self,
+        window: WindowNumber,
+        wall_ms: u64,
+        answering_for: Duration,
+    ) -> ReportAction {
         let end_ms = self.windows.end_ms(window);
         let after_end = |time: Duration| end_ms + time.as_millis() as u64;
         let settled_ms = after_end(self.settle_time());
         if wall_ms < settled_ms {
-            return Turn::Wait(Duration::from_millis(settled_ms - wall_ms));
+            return ReportAction::Wait(Duration::from_millis(settled_ms - wall_ms));
         }
         let latest_ms = after_end(self.due_after.saturating_sub(DUE_MARGIN));
-        let missing = CATCH_UP.saturating_sub(answering_for);
+        let missing = RECOVERY_TIME.saturating_sub(answering_for);
         let left = Duration::from_millis(latest_ms.saturating_sub(wall_ms));
         match missing.min(left) {
-            Duration::ZERO => Turn::Report(window),
-            wait => Turn::Wait(wait),
+            Duration::ZERO => ReportAction::Report(window),
+            wait => ReportAction::Wait(wait),
         }
     }
 }
