--- a/crates/sloetrail-clock/src/lib.rs
+++ b/crates/sloetrail-clock/src/lib.rs
@@ -1,13 +1,12 @@
-//! A clock that goes on while the machine is suspended.
+//! A monotonic clock that includes the time for which the machine is suspended.
 //!
-//! The steady clock of the operating system, and with it every `Instant` and every timer,
-//! stands still while a machine is suspended. What is valid until a moment, was heard at a
-//! moment or is due at one must see that time, or a node that wakes holds leases that have run
-//! out and believes what has long changed. [`BootInstant`] counts it; the time of day would
-//! count it too, but jumps.
+//! `CLOCK_MONOTONIC`, and with it `Instant` and every timer, stops while a machine is suspended.
+//! Lease expiry, deadlines and the age of received data must include that time; otherwise a
+//! resumed node would use expired leases and stale data. [`BootInstant`] reads `CLOCK_BOOTTIME`,
+//! which includes it and, unlike wall-clock time, does not jump.
 //!
-//! Timers still stand still: who waits with [`sleep_until`] over a suspension is woken late and
-//! has to look at the clock before it acts.
+//! Timers still stop during a suspension: a task that waits in [`sleep_until`] wakes late and
+//! must check the clock before it acts.
 
 mod instant;
 mod source;
--- a/crates/sloetrail-clock/src/source.rs
+++ b/crates/sloetrail-clock/src/source.rs
@@ -1,4 +1,4 @@
-//! Where the time comes from: the kernel, or the test.
+//! Time sources: the kernel's clock, or virtual time in tests.
 
 #[cfg(not(any(test, feature = "test-util")))]
 mod kernel {
@@ -7,7 +7,7 @@
     use std::time::Duration;
     use tokio::time::Instant;
 
-    /// The same moment on both clocks.
+    /// One instant on both clocks.
     struct Origin {
         instant: Instant,
         since_boot: Duration,
@@ -15,11 +15,10 @@
 
     static ORIGIN: OnceLock<Origin> = OnceLock::new();
 
-    /// The steady time of this process's first look, and what has passed since then with the
-    /// time for which the machine was suspended.
+    /// Returns the monotonic time of the first call plus the boot time elapsed since then.
     pub(crate) fn now() -> Instant {
         let Some(now) = since_boot() else {
-            // A kernel without this clock suspends no machine.
+            // Without CLOCK_BOOTTIME the monotonic clock is the best available.
             return Instant::now();
         };
         let origin = ORIGIN.get_or_init(|| Origin {
@@ -46,13 +45,13 @@
         static SUSPENDED: Cell<Duration> = const { Cell::new(Duration::ZERO) };
     }
 
-    /// The runtime's time, and the time for which this thread was suspended.
+    /// Returns the runtime's time plus this thread's simulated suspension.
     pub(crate) fn now() -> Instant {
         Instant::now() + SUSPENDED.get()
     }
 
-    /// Makes this thread see that its machine was suspended for a while. A node under test has
-    /// a thread of its own.
+    /// Simulates a suspension of the machine for this thread. Each node under test runs on its
+    /// own thread.
     pub fn suspend_thread(time: Duration) {
         SUSPENDED.set(SUSPENDED.get() + time);
     }
--- a/crates/sloetrail-clock/src/tests.rs
+++ b/crates/sloetrail-clock/src/tests.rs
@@ -3,39 +3,39 @@
 use tokio::time::Instant;
 
 #[tokio::test(start_paused = true)]
-async fn a_suspension_counts_as_time_that_has_passed() {
-    let began = BootInstant::now();
+async fn elapsed_time_includes_suspension() {
+    let started_at = BootInstant::now();
     tokio::time::advance(Duration::from_secs(1)).await;
-    assert_eq!(began.elapsed(), Duration::from_secs(1));
+    assert_eq!(started_at.elapsed(), Duration::from_secs(1));
     suspend_thread(Duration::from_secs(4));
-    assert_eq!(began.elapsed(), Duration::from_secs(5));
+    assert_eq!(started_at.elapsed(), Duration::from_secs(5));
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_duration_is_too_long() {
+async fn adding_the_maximum_duration_does_not_overflow() {
     let now = BootInstant::now();
-    let far = now + Duration::MAX;
-    assert!(far > now + Duration::from_secs(1_000_000));
-    let waited = timeout_at(far, async { 7 }).await;
-    assert_eq!(waited.ok(), Some(7));
+    let far_future = now + Duration::MAX;
+    assert!(far_future > now + Duration::from_secs(1_000_000));
+    let result = timeout_at(far_future, async { 7 }).await;
+    assert_eq!(result.ok(), Some(7));
 }
 
 #[tokio::test(start_paused = true)]
-async fn timers_that_are_set_after_a_suspension_are_not_late() {
-    let due = BootInstant::now() + Duration::from_secs(5);
+async fn timers_set_after_a_suspension_fire_on_time() {
+    let deadline = BootInstant::now() + Duration::from_secs(5);
     suspend_thread(Duration::from_secs(4));
-    let began = Instant::now();
-    sleep_until(due).await;
-    assert!(began.elapsed() <= Duration::from_millis(1_001));
-    assert!(began.elapsed() >= Duration::from_secs(1));
+    let started_at = Instant::now();
+    sleep_until(deadline).await;
+    assert!(started_at.elapsed() <= Duration::from_millis(1_001));
+    assert!(started_at.elapsed() >= Duration::from_secs(1));
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_was_due_during_a_suspension_is_over_at_once() {
-    let due = BootInstant::now() + Duration::from_secs(2);
+async fn deadlines_passed_during_suspension_expire_at_once() {
+    let deadline = BootInstant::now() + Duration::from_secs(2);
     suspend_thread(Duration::from_secs(3));
-    let began = Instant::now();
-    let waited = timeout_at(due, std::future::pending::<()>()).await;
-    assert!(waited.is_err());
-    assert!(began.elapsed() <= Duration::from_millis(2));
+    let started_at = Instant::now();
+    let result = timeout_at(deadline, std::future::pending::<()>()).await;
+    assert!(result.is_err());
+    assert!(started_at.elapsed() <= Duration::from_millis(2));
 }
--- a/crates/sloetrail-clock/src/timers.rs
+++ b/crates/sloetrail-clock/src/timers.rs
@@ -1,23 +1,23 @@
-//! Waiting until a moment.
+//! Timers with deadlines on the boot-time clock.
 
 use crate::BootInstant;
 use std::future::Future;
 use tokio::time::error::Elapsed;
 
-/// Waits until a moment; longer by the time for which the machine is suspended meanwhile.
-pub async fn sleep_until(moment: BootInstant) {
-    tokio::time::sleep_until(moment.timer()).await;
+/// Sleeps until `deadline`, plus any time for which the machine is suspended during the wait.
+pub async fn sleep_until(deadline: BootInstant) {
+    tokio::time::sleep_until(deadline.timer()).await;
 }
 
-/// Waits for a future until a moment; longer by the time for which the machine is suspended
-/// meanwhile.
+/// Awaits `work` until `deadline`, plus any time for which the machine is suspended during the
+/// wait.
 ///
 /// # Errors
 ///
-/// If the moment comes first.
+/// Returns `Elapsed` if the deadline passes first.
 pub async fn timeout_at<Work: Future>(
-    moment: BootInstant,
+    deadline: BootInstant,
     work: Work,
 ) -> Result<Work::Output, Elapsed> {
-    tokio::time::timeout_at(moment.timer(), work).await
+    tokio::time::timeout_at(deadline.timer(), work).await
 }
--- a/crates/sloetrail-serving/src/usage/counted_request.rs
+++ b/crates/sloetrail-serving/src/usage/counted_request.rs
@@ -1,4 +1,4 @@
-//! Whether a live request began at a back end, and when.
+//! Counts a live request if a back end may have started it.
 
 use super::NodeUsage;
 use super::node_usage::OpenRequestId;
@@ -6,19 +6,18 @@
 use sloetrail_types::TenantName;
 use std::sync::Arc;
 
-/// Counts one live request, once, if a back end may have begun it: when it is dropped, or
-/// before if it goes on for long. A caller that leaves early drops it too: what was begun
-/// for it is counted.
+/// A live request that is counted at most once, if a back end may have started it.
+///
+/// It is counted on drop, which includes callers that disconnect, or earlier if it runs long.
 pub(crate) struct CountedRequest {
     usage: Arc<NodeUsage>,
     tenant: TenantName,
-    /// By number, when the sends began that may have reached a back end.
+    /// Sends that may have reached a back end, by number, with their start times.
     sends: Vec<(usize, BootInstant)>,
     open: Option<OpenRequestId>,
 }
 
 impl CountedRequest {
-    /// A request that has not been sent anywhere.
     pub(crate) fn new(usage: &Arc<NodeUsage>, tenant: &TenantName) -> Self {
         Self {
             usage: Arc::clone(usage),
@@ -28,8 +27,7 @@
         }
     }
 
-    /// It goes to a back end now, with this send. Said again of the same send, it changes
-    /// nothing.
+    /// Records that this send to a back end starts now. Idempotent per send.
     pub(crate) fn sent(&mut self, send: usize) {
         if self.sends.iter().all(|(number, _)| *number != send) {
             self.sends.push((send, BootInstant::now()));
@@ -37,7 +35,7 @@
         }
     }
 
-    /// It is proved that this send was not run.
+    /// Records that this send provably did not run.
     pub(crate) fn not_run(&mut self, send: usize) {
         self.sends.retain(|(number, _)| *number != send);
         self.update_open();
@@ -47,8 +45,8 @@
         if let Some(open) = self.open.take() {
             self.usage.forget(open);
         }
-        let began = self.sends.iter().map(|(_, at)| *at).min();
-        self.open = began.map(|began| self.usage.begin(&self.tenant, began));
+        let started_at = self.sends.iter().map(|(_, at)| *at).min();
+        self.open = started_at.map(|started_at| self.usage.begin(&self.tenant, started_at));
     }
 }
 
--- a/crates/sloetrail-serving/src/usage/mod.rs
+++ b/crates/sloetrail-serving/src/usage/mod.rs
@@ -1,13 +1,12 @@
-//! What tenants use: counted on every node, reported by one.
+//! Usage of tenants: counted on every node, reported by the holder of the report lease.
 //!
-//! [`node_usage`] counts the live requests of tenants that began at back ends and hands
-//! the counts over to the table, in pieces that never change. The node that holds the
-//! lease of the reports ([`reporter`]) adds up the pieces of each window and sends the sum
-//! to the [`UsageRecipient`]. What is sent of a window is committed before, so that
-//! whoever holds the lease later sends the same or nothing. [`wall_clock`] is how nodes
-//! agree on when a window begins.
+//! [`node_usage`] counts the live requests of tenants that started at back ends and writes the
+//! counts to the table as immutable pieces. The holder of the report lease ([`reporter`]) sums
+//! the pieces of each window and sends the sum to the [`UsageRecipient`]. The sum is committed
+//! before it is sent, so that a later holder resends the committed sum or nothing.
+//! [`wall_clock`] determines the clock offset by which nodes agree on window boundaries.
 //!
-//! Items of batches and reward calls are not counted.
+//! Batch items and reward calls are not counted.
 
 mod counted_request;
 mod node_usage;
--- a/crates/sloetrail-serving/src/usage/node_usage.rs
+++ b/crates/sloetrail-serving/src/usage/node_usage.rs
@@ -1,4 +1,4 @@
-//! What this node counts, and how it hands it over.
+//! Counts the requests of this node and writes the counts to the table.
 
 use super::wall_clock::agreed_offset;
 use crate::events::{self, Event};
@@ -15,22 +15,20 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// What was counted is handed over this often on a small fleet: a node that is killed
-/// loses what it counted since.
+/// Bounds the counts that a killed node loses.
 const MIN_FLUSH_INTERVAL: Duration = Duration::from_millis(250);
-/// The time grows with the fleet, so that the nodes together write about 150 times a second.
-/// There are about half as many back ends as nodes on the smaller fleets of the operators.
+/// Bounds the write rate of all nodes together.
 const FLUSH_INTERVAL_PER_BACK_END: Duration = Duration::from_millis(8);
-/// A report waits 4.5 s for the pieces of its window.
+/// Below the time for which reports wait for pieces.
 const MAX_FLUSH_INTERVAL: Duration = Duration::from_millis(2_000);
-/// Requests that are remembered until the clock is agreed on. They come within seconds.
+/// Bounds the requests that wait for the agreed clock offset.
 const MAX_PENDING_REQUESTS: usize = 50_000;
 const MAX_PIECES_PER_TRANSACTION: usize = 50;
-/// A request that goes on for longer than this part of the time for which reports wait is
-/// counted while it does: its report would not wait for its end.
+/// Requests that run longer than the settle time divided by this are counted before they end,
+/// since the report does not wait for them.
 const LONG_REQUEST_DIVISOR: u32 = 2;
 
-/// What this node counts.
+/// The usage counts of this node.
 pub(crate) struct NodeUsage {
     schedule: ReportSchedule,
     instance: NodeId,
@@ -38,21 +36,21 @@
     leases: ViewReceiver,
     fleet: FleetSize,
     state: Mutex<State>,
-    /// One hand-over at a time, so that the last one before a stop leaves nothing out.
+    /// Pieces to write. The lock serializes flushes, so that the flush before a stop is complete.
     flush_queue: tokio::sync::Mutex<VecDeque<UsagePiece>>,
 }
 
-/// A request that began and is not counted yet.
+/// Identifies a started request that is not counted yet.
 #[derive(Debug, PartialEq, Eq, Hash)]
 pub(super) struct OpenRequestId(u64);
 
 #[derive(Default)]
 struct State {
     counter: UsageCounter,
-    /// Requests that began and have not ended.
+    /// Started requests that have not ended, with their start times.
     open: HashMap<OpenRequestId, (BootInstant, TenantName)>,
     next_open_id: u64,
-    /// Requests to be counted as soon as the clock is known.
+    /// Requests to count once the clock offset is known.
     pending: VecDeque<(BootInstant, TenantName)>,
 }
 
@@ -65,10 +63,10 @@
         }
     }
 
-    /// Remembers those that have been open since before a moment.
-    fn move_open_since(&mut self, moment: BootInstant) {
+    /// Moves requests that started at or before `cutoff` from open to pending.
+    fn move_open_since(&mut self, cutoff: BootInstant) {
         let open = std::mem::take(&mut self.open);
-        let is_long = |request: &(OpenRequestId, (BootInstant, TenantName))| request.1.0 <= moment;
+        let is_long = |request: &(OpenRequestId, (BootInstant, TenantName))| request.1.0 <= cutoff;
         let (long, short): (Vec<_>, Vec<_>) = open.into_iter().partition(is_long);
         self.open = short.into_iter().collect();
         for (_, request) in long {
@@ -78,7 +76,7 @@
 }
 
 impl NodeUsage {
-    /// Counts nothing yet. `leases` tells the agreed clock.
+    /// `leases` provides the agreed clock offset.
     pub(crate) fn new(
         schedule: ReportSchedule,
         instance: NodeId,
@@ -97,35 +95,33 @@
         })
     }
 
-    /// When windows are reported.
     pub(crate) fn schedule(&self) -> ReportSchedule {
         self.schedule
     }
 
-    /// Wall-clock time, in milliseconds since 1970, as the nodes agree on it; nothing
-    /// before they do.
+    /// Returns the agreed wall-clock time in Unix milliseconds, or None before the nodes agree.
     pub(crate) fn wall_ms(&self) -> Option<u64> {
-        let lead = agreed_offset(&self.leases.borrow())?;
-        Some(lead.wall_ms(self.table.now_ms()?))
+        let offset = agreed_offset(&self.leases.borrow())?;
+        Some(offset.wall_ms(self.table.now_ms()?))
     }
 
-    /// A request of a tenant began at this moment.
-    pub(super) fn begin(&self, tenant: &TenantName, began: BootInstant) -> OpenRequestId {
+    /// Records a request of a tenant that started at this time.
+    pub(super) fn begin(&self, tenant: &TenantName, started_at: BootInstant) -> OpenRequestId {
         let mut state = self.state();
         let number = state.next_open_id;
         state.next_open_id += 1;
         state
             .open
-            .insert(OpenRequestId(number), (began, tenant.clone()));
+            .insert(OpenRequestId(number), (started_at, tenant.clone()));
         OpenRequestId(number)
     }
 
-    /// It did not begin after all.
+    /// Removes a request that did not start.
     pub(super) fn forget(&self, request: OpenRequestId) {
         self.state().open.remove(&request);
     }
 
-    /// It has ended and is to be counted, unless it was already.
+    /// Counts a request that has ended, unless it was counted before.
     pub(super) fn count(&self, request: OpenRequestId) {
         let mut state = self.state();
         if let Some(request) = state.open.remove(&request) {
@@ -133,7 +129,7 @@
         }
     }
 
-    /// Hands what was counted over to the table again and again.
+    /// Flushes the counts to the table periodically.
     pub(crate) async fn run(self: Arc<Self>) {
         loop {
             tokio::time::sleep(self.flush_interval()).await;
@@ -141,20 +137,20 @@
         }
     }
 
-    /// Hands all over that was counted, however long the table is away.
+    /// Writes all counts to the table. Retries until the table accepts them.
     pub(crate) async fn flush(&self) {
-        let mut waiting = self.flush_queue.lock().await;
-        waiting.extend(self.take_pieces());
+        let mut queue = self.flush_queue.lock().await;
+        queue.extend(self.take_pieces());
         let mut retry = RetryPause::new();
-        while !waiting.is_empty() {
-            let count = waiting.len().min(MAX_PIECES_PER_TRANSACTION);
-            let transaction = self.transaction(waiting.iter().take(count));
+        while !queue.is_empty() {
+            let count = queue.len().min(MAX_PIECES_PER_TRANSACTION);
+            let transaction = self.transaction(queue.iter().take(count));
             match self.table.commit(&transaction).await {
                 Ok(Commit::Done(_)) => {
-                    waiting.drain(..count);
+                    queue.drain(..count);
                     retry.reset();
                 }
-                // Without conditions there is nothing that could conflict.
+                // A conflict cannot occur, since the transaction has no conditions.
                 Ok(Commit::Conflict(_)) | Err(CommitError::NotDone | CommitError::Unknown) => {
                     retry.wait(&*self.table).await;
                 }
@@ -164,11 +160,11 @@
 
     fn flush_interval(&self) -> Duration {
         let back_ends = u32::try_from(self.fleet.back_ends()).unwrap_or(u32::MAX);
-        let grown = FLUSH_INTERVAL_PER_BACK_END.saturating_mul(back_ends);
-        grown.clamp(MIN_FLUSH_INTERVAL, MAX_FLUSH_INTERVAL)
+        let interval = FLUSH_INTERVAL_PER_BACK_END.saturating_mul(back_ends);
+        interval.clamp(MIN_FLUSH_INTERVAL, MAX_FLUSH_INTERVAL)
     }
 
-    /// A piece that is written twice is the same both times.
+    /// Rewriting a piece is idempotent.
     fn transaction<'a>(&self, pieces: impl Iterator<Item = &'a UsagePiece>) -> Transaction {
         let mut transaction = Transaction::new();
         for piece in pieces {
@@ -185,11 +181,11 @@
         };
         let windows = self.schedule.windows();
         let mut state = self.state();
-        if let Some(moment) = now.checked_sub(self.schedule.settle_time() / LONG_REQUEST_DIVISOR) {
-            state.move_open_since(moment);
+        if let Some(cutoff) = now.checked_sub(self.schedule.settle_time() / LONG_REQUEST_DIVISOR) {
+            state.move_open_since(cutoff);
         }
-        for (began, tenant) in std::mem::take(&mut state.pending) {
-            let age = now.saturating_duration_since(began).as_millis() as u64;
+        for (started_at, tenant) in std::mem::take(&mut state.pending) {
+            let age = now.saturating_duration_since(started_at).as_millis() as u64;
             let window = windows.at(wall_ms.saturating_sub(age));
             state.counter.count(window, &tenant);
         }
@@ -201,14 +197,13 @@
     }
 }
 
-/// The stored form of a piece.
 fn encode_piece(piece: &UsagePiece) -> Bytes {
     let mut encoded = Vec::new();
-    ciborium::into_writer(piece, &mut encoded).expect("memory takes every write");
+    ciborium::into_writer(piece, &mut encoded).expect("writing to memory cannot fail");
     Bytes::from(encoded)
 }
 
-/// Reads the stored form of a piece. One that cannot be read is told and left out.
+/// Decodes a stored piece. An unreadable piece is logged and skipped.
 pub(super) fn decode_piece(key: &str, stored: &[u8]) -> Option<UsagePiece> {
     match ciborium::from_reader(stored) {
         Ok(piece) => Some(piece),
--- a/crates/sloetrail-serving/src/usage/recipient.rs
+++ b/crates/sloetrail-serving/src/usage/recipient.rs
@@ -1,25 +1,25 @@
-//! Whoever takes the reports of usage.
+//! The recipient of usage reports.
 
 use crate::lease_holder::LeaseHolder;
 use async_trait::async_trait;
 use sloetrail_usage::UsageReport;
 use std::time::Duration;
 
-/// What became of a report.
+/// The outcome of sending a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportAnswer {
-    /// It was taken, now or before.
+    /// Accepted by this or an earlier send.
     Accepted,
-    /// A later holder has sent reports already.
+    /// A later lease holder has already sent reports.
     Fenced,
-    /// It will never be taken as it is; the status.
+    /// Rejected permanently, with the response status.
     Refused(u16),
-    /// It was not taken now, or nothing was answered: the same is to be sent again.
+    /// Not accepted or not answered. The same report must be sent again.
     RetryLater,
 }
 
 impl ReportAnswer {
-    /// A word for logs and metrics.
+    /// The name in logs and metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             ReportAnswer::Accepted => "accepted",
@@ -29,7 +29,6 @@
         }
     }
 
-    /// The status of a refusal.
     pub(crate) fn status(self) -> Option<u16> {
         match self {
             ReportAnswer::Refused(status) => Some(status),
@@ -38,11 +37,11 @@
     }
 }
 
-/// Whoever takes the reports of usage.
+/// The system that receives usage reports.
 #[async_trait]
 pub trait UsageRecipient: Send + Sync {
-    /// Hands a report over; gives up after `patience`. The same report may be handed over
-    /// again.
+    /// Sends a report and waits at most `timeout` for the answer. Must accept repeated sends of
+    /// the same report.
     async fn report(
         &self,
         report: &UsageReport,
--- a/crates/sloetrail-serving/src/usage/reporter.rs
+++ b/crates/sloetrail-serving/src/usage/reporter.rs
@@ -1,10 +1,10 @@
-//! The holder of the reports' lease, for one term.
+//! The task of the report lease's holder, for one term.
 //!
-//! Each window goes the same way: its pieces are read and added up, the sum is committed
-//! under the term's fence in place of the window before, and sent until it is taken. A
-//! successor finds the committed sum and sends it once more before it goes on, so a window
-//! is never reported with two sums. Reports are sent within order windows, so those of two
-//! holders lie apart.
+//! For each window in order, the holder reads and sums the pieces, commits the sum under the
+//! term's fence (replacing the previous window's sum), and sends it until it is accepted. A
+//! successor resends the committed sum before it continues, so a window is never reported with
+//! two different sums. Reports are sent only within order windows, so reports of two holders do
+//! not overlap.
 
 use super::node_usage::decode_piece;
 use super::recipient::ReportAnswer;
@@ -26,31 +26,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a step of this holder waits at most, and after a failure.
+/// Maximum wait between checks, and the delay after a failure.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// How long an answer to a report may take. It must come within the order window.
+/// Must fit in an order window.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(700);
-/// The pause after a report that was not taken, and its bound: calls have a price, and
-/// what takes them is away for seconds.
+/// Bounds of the exponential backoff between sends of a report.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_000);
-/// How often the agreed clock is looked at. Two clocks drift apart by under 0.1 ms a
-/// second.
 const CLOCK_CHECK_INTERVAL: Duration = Duration::from_secs(600);
-/// How soon it is looked at again at the beginning of a term: nodes that start together
-/// have not all told what they see when the first of them holds the lease.
+/// Interval at the start of a term, when not all nodes may have published their offset yet.
 const INITIAL_CLOCK_CHECK_INTERVAL: Duration = Duration::from_secs(4);
-/// The agreed clock is changed only if it is off by more than this: nodes count by what
-/// they know of it, and a change puts a few requests into the window beside theirs.
+/// The agreed offset is updated only above this difference, since an update moves a few requests
+/// to an adjacent window.
 const CLOCK_TOLERANCE_MS: u64 = 50;
 
-/// What the holder of the reports' lease does.
+/// Reports usage while this node holds the report lease.
 pub(crate) struct UsageReportTask {
-    /// The node's parts.
     pub(crate) context: Arc<NodeContext>,
-    /// What this node counts.
     pub(crate) usage: Arc<NodeUsage>,
-    /// Whoever takes the reports.
     pub(crate) recipient: Arc<dyn UsageRecipient>,
 }
 
@@ -73,7 +66,7 @@
     }
 }
 
-/// The holder of the reports' lease, for one term.
+/// State of the report lease's holder for one term.
 struct UsageReporter {
     context: Arc<NodeContext>,
     usage: Arc<NodeUsage>,
@@ -81,19 +74,19 @@
     term: Term,
     order_window: OrderWindow,
     schedule: ReportSchedule,
-    /// The window to report next; nothing before the first one ever is known.
+    /// The window to report next, or None until the first window is known.
     next: Option<WindowNumber>,
-    /// The version of the row that holds the report committed last. Each commit demands
-    /// it, so that one without an answer cannot take effect after a later one.
+    /// The version of the row with the last committed report. Each commit requires it, so that
+    /// an unanswered commit cannot take effect after a later one.
     row_version: Option<RowVersion>,
-    /// Since when the table has been answering without a break, as far as seen.
+    /// Start of the observed period in which the table has answered without interruption.
     answering_since: BootInstant,
     clock_checked_at: Option<BootInstant>,
     clock_checks: u32,
 }
 
 impl UsageReporter {
-    /// Reports until the term is over.
+    /// Reports windows until the term ends or the lease is released.
     async fn run(mut self) {
         let (ended, releasing) = (self.term.ended.clone(), self.term.releasing.clone());
         tokio::select! {
@@ -104,21 +97,21 @@
     }
 
     async fn report_windows(&mut self) {
-        if let Some(last) = self.read_committed().await {
-            // The holder before may not have heard whether it was taken.
-            self.send(&last).await;
-            self.next = Some(last.window.next());
+        if let Some(committed) = self.read_committed().await {
+            // The previous holder may not have received the answer.
+            self.send(&committed).await;
+            self.next = Some(committed.window.next());
         }
         loop {
             self.agree_on_clock().await;
             match self.next_action() {
-                ReportAction::Wait(time) => self.pause(time.min(POLL_INTERVAL)).await,
+                ReportAction::Wait(time) => self.wait(time.min(POLL_INTERVAL)).await,
                 ReportAction::Report(window) => match self.commit_report(window).await {
                     Some(report) => {
                         self.send(&report).await;
                         self.next = Some(window.next());
                     }
-                    None => self.pause(POLL_INTERVAL).await,
+                    None => self.wait(POLL_INTERVAL).await,
                 },
             }
         }
@@ -134,15 +127,15 @@
         self.schedule.next_action(window, wall_ms, answering_for)
     }
 
-    async fn pause(&mut self, time: Duration) {
+    async fn wait(&mut self, time: Duration) {
         tokio::time::sleep(time).await;
         if !self.context.table.is_answering() {
             self.answering_since = BootInstant::now();
         }
     }
 
-    /// The report that was committed last, by whatever holder; waits for the table. A row
-    /// that cannot be read ends the term: without it a window could be told twice.
+    /// Reads the last committed report of any holder. Waits for the table. An unreadable row ends
+    /// the term, since without it a window could be reported twice.
     async fn read_committed(&mut self) -> Option<UsageReport> {
         loop {
             let row = read_row(&*self.context.table, &rows::usage_report()).await;
@@ -154,7 +147,7 @@
                 },
                 Err(_) => {}
             }
-            self.pause(POLL_INTERVAL).await;
+            self.wait(POLL_INTERVAL).await;
         }
     }
 
@@ -173,8 +166,8 @@
         }
     }
 
-    /// Adds a window up and commits the sum. Nothing if the table did not let it; it is
-    /// then tried again from the beginning.
+    /// Sums a window and commits the sum. Returns None if the table failed; the caller then
+    /// starts over.
     async fn commit_report(&mut self, window: WindowNumber) -> Option<UsageReport> {
         let range = rows::usage_pieces_until(window);
         let page = scan_all(&*self.context.table, range).await.ok()?;
@@ -189,25 +182,25 @@
             .table
             .commit(&transaction.put(address, value))
             .await;
-        let counted = report.total_requests();
+        let total = report.total_requests();
         let committed = match commit {
             Ok(Commit::Done(version)) => {
                 self.row_version = Some(version);
                 report
             }
             Ok(Commit::Conflict(rows)) => self.adopt(window, &rows)?,
-            // It may have been done; the next attempt conflicts then, and adopts it.
+            // If the commit took effect, the next attempt conflicts and adopts it.
             Err(_) => return None,
         };
-        // An earlier attempt was committed before the last pieces came.
-        let too_late = counted.saturating_sub(committed.total_requests());
-        log_uncounted(window, &pieces, too_late);
+        // An adopted sum of an earlier attempt may lack pieces that were written later.
+        let uncounted = total.saturating_sub(committed.total_requests());
+        log_uncounted(window, &pieces, uncounted);
         self.delete_pieces(&page).await;
         Some(committed)
     }
 
-    /// The sum of a window that an earlier attempt of this term has committed without an
-    /// answer. The term is over if it is the fence that did not hold.
+    /// Returns the sum of this window that an earlier, unanswered attempt of this term committed.
+    /// Ends the term if the conflict has another cause, such as a lost fence.
     fn adopt(&mut self, window: WindowNumber, current: &[Row]) -> Option<UsageReport> {
         let address = rows::usage_report();
         let row = current.iter().find(|row| row.address == address);
@@ -220,8 +213,8 @@
         report
     }
 
-    /// Pieces that are in a committed sum are needed no more. Those that stay, because the
-    /// table did not answer, are found again with the next window.
+    /// Deletes pieces that a committed sum covers. Pieces that remain after a table failure are
+    /// deleted with the next window.
     async fn delete_pieces(&self, page: &Page) {
         let entries = self.context.table.limits().transaction_entries;
         for group in page.rows.chunks(entries) {
@@ -233,10 +226,10 @@
         }
     }
 
-    /// Sends a committed report until it is taken, or will never be.
+    /// Sends a committed report until it is accepted or permanently rejected.
     async fn send(&mut self, report: &UsageReport) {
         let holder = self.term.holder(&self.context.settings);
-        let mut retry = MIN_RETRY_DELAY;
+        let mut delay = MIN_RETRY_DELAY;
         loop {
             if !self.order_window.is_open() {
                 self.order_window.open(&self.context, &self.term).await;
@@ -250,8 +243,8 @@
                     ReportAnswer::RetryLater => {}
                 }
             }
-            self.pause(retry).await;
-            retry = (retry * 2).min(MAX_RETRY_DELAY);
+            self.wait(delay).await;
+            delay = (delay * 2).min(MAX_RETRY_DELAY);
         }
     }
 
@@ -271,7 +264,7 @@
         });
     }
 
-    /// Sees now and then whether the agreed clock still fits what the nodes see.
+    /// Periodically checks the agreed clock offset against the measurements of the nodes.
     async fn agree_on_clock(&mut self) {
         let period = match self.clock_checks {
             0 | 1 => INITIAL_CLOCK_CHECK_INTERVAL,
@@ -287,13 +280,13 @@
         }
     }
 
-    /// Nothing if the table does not answer, or nobody knows its clock.
+    /// Returns None if the table fails or no node has measured its clock.
     async fn try_agree_on_clock(&self) -> Option<()> {
         let table = &*self.context.table;
-        let mut seen = read_clock_leads(table).await.ok()?;
-        seen.extend(measured_offset(table));
-        let nodes = seen.len();
-        let agreed = median_offset(seen)?;
+        let mut measured = read_clock_leads(table).await.ok()?;
+        measured.extend(measured_offset(table));
+        let nodes = measured.len();
+        let agreed = median_offset(measured)?;
         let known = agreed_offset(&self.context.leases.borrow());
         if known.is_some_and(|known| known.distance(agreed) <= CLOCK_TOLERANCE_MS) {
             return Some(());
@@ -317,12 +310,12 @@
         .collect()
 }
 
-/// Tells of requests that came too late for their report: those of pieces of windows before
-/// this one, which an earlier holder may also have counted and not deleted, and others.
+/// Logs requests that are missing from the report of their window: `others`, and those in pieces
+/// of earlier windows. The latter may include pieces that were counted but not deleted.
 fn log_uncounted(window: WindowNumber, pieces: &[UsagePiece], others: u64) {
-    let left = pieces.iter().filter(|piece| piece.window < window);
-    let of_pieces: u64 = left.flat_map(|piece| piece.counts.values()).sum();
-    let requests = of_pieces + others;
+    let late = pieces.iter().filter(|piece| piece.window < window);
+    let late_requests: u64 = late.flat_map(|piece| piece.counts.values()).sum();
+    let requests = late_requests + others;
     if requests > 0 {
         events::emit(&Event::UsageLeft {
             window: window.0,
--- a/crates/sloetrail-serving/tests/configuration.rs
+++ b/crates/sloetrail-serving/tests/configuration.rs
@@ -1,5 +1,4 @@
-//! Configuration and leaving: in force within moments, never back, no new work for
-//! whoever leaves, nothing cut by a planned stop.
+//! Configuration updates, draining back ends and planned stops of nodes.
 
 mod support;
 
@@ -12,7 +11,7 @@
 use std::time::Duration;
 use support::{live, native_cluster, usual_cluster};
 
-const PACE: Duration = Duration::from_millis(5);
+const EVENT_INTERVAL: Duration = Duration::from_millis(5);
 
 fn route(prefix: &str) -> Value {
     json!({"name": prefix, "host": HOST, "path_prefix": prefix, "kind": "idempotent",
@@ -25,14 +24,14 @@
     answer.status.as_u16()
 }
 
-async fn wait_status(cluster: &Cluster, node: usize, path: &str, wanted: u16) {
-    let has_status = || async { (status(cluster, node, path).await == wanted).then_some(()) };
-    eventually("the route answers as it should", has_status).await;
+async fn wait_status(cluster: &Cluster, node: usize, path: &str, expected: u16) {
+    let has_status = || async { (status(cluster, node, path).await == expected).then_some(()) };
+    eventually("the route returns the expected status", has_status).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_configuration_is_in_force_everywhere_within_moments() {
-    let mut cluster = usual_cluster(PACE).await;
+async fn configuration_reaches_all_nodes_within_a_second() {
+    let mut cluster = usual_cluster(EVENT_INTERVAL).await;
     let watch = Stopwatch::start();
     cluster.configure(json!([route("/new/")]));
     for node in [0, 1] {
@@ -43,23 +42,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_older_or_broken_configuration_never_comes_into_force() {
-    let cluster = usual_cluster(PACE).await;
+async fn older_or_invalid_configurations_are_ignored() {
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     cluster.write_configuration(50, json!([route("/new/")]));
     wait_status(&cluster, 0, "/new/x", 200).await;
-    // Each is seen before the next one is written.
-    let seen = Duration::from_millis(150);
+    // Nodes read each row before the next one is written.
+    let poll_time = Duration::from_millis(150);
     cluster.write_configuration(49, usual_routes());
-    tokio::time::sleep(seen).await;
+    tokio::time::sleep(poll_time).await;
     assert_eq!(status(&cluster, 0, "/live/x").await, 404);
     let address = RowAddress::new("operator", "", "configuration");
     cluster.table.write(address, "{broken");
-    tokio::time::sleep(seen).await;
+    tokio::time::sleep(poll_time).await;
     assert_eq!(status(&cluster, 0, "/new/x").await, 200);
     let mut unknown_kind = route("/x/");
     unknown_kind["kind"] = json!("nonsense");
     cluster.write_configuration(51, json!([unknown_kind]));
-    tokio::time::sleep(seen).await;
+    tokio::time::sleep(poll_time).await;
     for _ in 0..20 {
         assert_eq!(status(&cluster, 0, "/new/x").await, 200);
         assert_eq!(status(&cluster, 0, "/live/x").await, 404);
@@ -68,8 +67,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_is_found_although_the_table_forgot_its_history() {
-    let mut cluster = usual_cluster(PACE).await;
+async fn configuration_is_found_after_the_table_loses_its_history() {
+    let mut cluster = usual_cluster(EVENT_INTERVAL).await;
     cluster.nodes[0].link.set_cut(true);
     cluster.configure(json!([route("/new/")]));
     cluster.table.forget_history();
@@ -78,8 +77,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_storm_of_configurations_ends_with_the_last_one() {
-    let mut cluster = usual_cluster(PACE).await;
+async fn rapid_updates_end_with_the_last_configuration() {
+    let mut cluster = usual_cluster(EVENT_INTERVAL).await;
     for number in 0..60 {
         cluster.configure(json!([route(&format!("/n{number}/"))]));
     }
@@ -90,52 +89,52 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_draining_back_end_gets_no_new_work() {
-    let cluster = usual_cluster(PACE).await;
-    let leaving = &cluster.engines[0];
+async fn draining_back_end_gets_no_new_requests() {
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
+    let draining = &cluster.engines[0];
     for number in 0..10 {
         assert_eq!(status(&cluster, number % 2, "/live/x").await, 200);
     }
-    leaving.set_draining();
-    cluster.list(leaving);
+    draining.set_draining();
+    cluster.list(draining);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let before = leaving.runs().len();
+    let before = draining.runs().len();
     for number in 0..30 {
         assert_eq!(status(&cluster, number % 2, "/live/x").await, 200);
     }
-    assert_eq!(leaving.runs().len(), before);
+    assert_eq!(draining.runs().len(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_back_end_whose_row_goes_gets_no_new_work() {
-    let cluster = usual_cluster(PACE).await;
-    let leaving = &cluster.engines[0];
-    cluster.unlist(leaving);
+async fn unlisted_back_end_gets_no_new_requests() {
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
+    let unlisted = &cluster.engines[0];
+    cluster.unlist(unlisted);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let before = leaving.runs().len();
+    let before = unlisted.runs().len();
     for number in 0..30 {
         assert_eq!(status(&cluster, number % 2, "/live/x").await, 200);
     }
-    assert_eq!(leaving.runs().len(), before);
+    assert_eq!(unlisted.runs().len(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_was_frozen_sends_nothing_to_a_back_end_that_left_meanwhile() {
-    let cluster = usual_cluster(PACE).await;
-    let leaving = &cluster.engines[0];
+async fn resumed_node_skips_back_end_that_drained_meanwhile() {
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
+    let draining = &cluster.engines[0];
     for number in 0..10 {
         assert_eq!(status(&cluster, 0, "/live/x").await, 200, "{number}");
     }
-    // The news reaches the node only after the requests that waited for it to wake.
+    // The node processes the waiting requests before it reads that the back end drains.
     cluster.nodes[0]
         .link
         .set_answer_time(Duration::from_millis(60));
     tokio::time::sleep(Duration::from_millis(100)).await;
     cluster.nodes[0].freeze(Duration::from_millis(1_800));
     tokio::time::sleep(Duration::from_millis(100)).await;
-    leaving.set_draining();
-    cluster.list(leaving);
-    let before = leaving.runs().len();
+    draining.set_draining();
+    cluster.list(draining);
+    let before = draining.runs().len();
     let waiting: Vec<_> = (0..10)
         .map(|number| {
             let names = cluster.names();
@@ -145,28 +144,28 @@
             tokio::spawn(async move { call.send(address).await })
         })
         .collect();
-    for asked in waiting {
-        let answer = asked.await.expect("no panic").expect("an answer");
+    for pending in waiting {
+        let answer = pending.await.expect("no panic").expect("an answer");
         assert_eq!(answer.status, 200);
     }
-    assert_eq!(leaving.runs().len(), before);
+    assert_eq!(draining.runs().len(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_answers_what_it_has_and_says_that_it_is_not_ready() {
-    let mut cluster = usual_cluster(PACE).await;
+async fn stopping_node_is_unready_and_completes_its_requests() {
+    let mut cluster = usual_cluster(EVENT_INTERVAL).await;
     let mut slow = route("/slow/");
     slow["kind"] = json!("non_idempotent");
     slow["timeout_ms"] = json!(8_000);
     cluster.configure(json!([slow]));
     wait_status(&cluster, 0, "/slow/x", 200).await;
-    // Longer than the node goes on taking connections.
+    // Longer than the node accepts connections after the stop signal.
     for engine in &cluster.engines {
         engine.set_pace(Duration::from_millis(2_900));
     }
     let address = cluster.nodes[0].callers;
     let names = cluster.names();
-    let asking: Vec<_> = (0..8)
+    let in_flight: Vec<_> = (0..8)
         .map(|number| {
             let call = Call::new(Method::POST, HOST, "/slow/x")
                 .header(&names.request_id, &format!("r{number}"));
@@ -181,25 +180,25 @@
         let answer = ready.send(ready_address).await?;
         (answer.status == 503).then_some(())
     };
-    eventually("the node is not ready", is_unready).await;
-    for asked in asking {
-        let answer = asked.await.expect("no panic").expect("an answer");
+    eventually("the node reports that it is not ready", is_unready).await;
+    for pending in in_flight {
+        let answer = pending.await.expect("no panic").expect("an answer");
         assert_eq!(answer.status, 200);
     }
     let has_ended = || async { cluster.nodes[0].has_ended().then_some(()) };
-    eventually("the node ends", has_ended).await;
+    eventually("the node process ends", has_ended).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopping_node_still_serves_those_who_have_not_heard() {
-    let mut cluster = usual_cluster(PACE).await;
+async fn stopping_node_still_serves_new_requests() {
+    let mut cluster = usual_cluster(EVENT_INTERVAL).await;
     cluster.nodes[0].stop();
     tokio::time::sleep(Duration::from_millis(500)).await;
     assert_eq!(status(&cluster, 0, "/live/x").await, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_without_a_configuration_is_not_ready_and_puts_requests_off() {
+async fn node_without_configuration_is_unready_and_answers_503() {
     let mut cluster = native_cluster();
     cluster
         .table
--- a/crates/sloetrail-serving/tests/live.rs
+++ b/crates/sloetrail-serving/tests/live.rs
@@ -1,5 +1,5 @@
-//! Live requests: whole answers to one's own request, true refusals, no second run of
-//! what may not repeat.
+//! Live requests: complete answers to the right request, accurate refusals, and no second run of
+//! non-idempotent requests.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use support::{live, native_cluster};
 
-const PACE: Duration = Duration::from_millis(5);
+const EVENT_INTERVAL: Duration = Duration::from_millis(5);
 
 async fn cluster_with(applications: usize) -> (Cluster, Vec<Arc<EngineStandIn>>) {
     let mut cluster = native_cluster();
@@ -19,7 +19,7 @@
     for _ in 0..applications {
         started.push(cluster.add_application("zone-a").await);
     }
-    cluster.add_engine(PACE).await;
+    cluster.add_engine(EVENT_INTERVAL).await;
     let node = cluster.add_node("node-1").await;
     cluster.wait_ready(node).await;
     (cluster, started)
@@ -32,18 +32,17 @@
     runs.filter(|run| run.id == id).count()
 }
 
-/// The application that the node prefers while it has little to do: what is harmed must
-/// be what its requests meet.
+/// Returns the application that an idle node chooses first, so that a fault set there is met.
 async fn preferred(cluster: &Cluster, applications: &[Arc<EngineStandIn>]) -> Arc<EngineStandIn> {
     let id = "which";
     live(cluster, 0, "/live/x", id).await.expect("an answer");
     let mut applications = applications.iter();
     let found = applications.find(|application| application.runs().iter().any(|run| run.id == id));
-    Arc::clone(found.expect("it ran"))
+    Arc::clone(found.expect("the request ran"))
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_gets_the_signed_answer_to_its_own_request() {
+async fn callers_get_the_signed_answer_to_their_request() {
     let (cluster, _applications) = cluster_with(2).await;
     let names = cluster.names();
     for number in 0..20 {
@@ -62,7 +61,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_without_a_route_is_refused_and_one_without_configuration_is_put_off() {
+async fn requests_without_a_route_get_404() {
     let (cluster, _applications) = cluster_with(1).await;
     let answer = live(&cluster, 0, "/nowhere/", "r1")
         .await
@@ -72,7 +71,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_repeatable_request_goes_to_another_back_end_when_one_fails() {
+async fn idempotent_requests_are_retried_at_another_back_end() {
     let faults = [
         EngineFault::AnswerLost,
         EngineFault::Crossed,
@@ -91,13 +90,13 @@
             assert_eq!(answer.status, 200, "{fault:?}: {}", answer.text());
             assert_eq!(answer.text(), format!("answer to {id}"), "{fault:?}");
         }
-        let was_asked = fault == EngineFault::Refuses || failing.runs().len() > 1;
-        assert!(was_asked, "{fault:?}: the failing back end was not met");
+        let was_tried = fault == EngineFault::Refuses || failing.runs().len() > 1;
+        assert!(was_tried, "{fault:?}: the failing back end got no request");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_may_not_repeat_runs_at_most_once_and_not_run_is_true() {
+async fn non_idempotent_requests_run_once_and_not_run_is_accurate() {
     let faults = [
         EngineFault::AnswerLost,
         EngineFault::Crossed,
@@ -123,7 +122,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_is_at_no_more_back_ends_than_its_route_allows() {
+async fn requests_keep_the_attempt_limit_of_their_route() {
     let (cluster, applications) = cluster_with(6).await;
     for application in &applications {
         application.set_fault(EngineFault::Silent, None);
@@ -134,7 +133,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn back_ends_get_the_time_that_is_left() {
+async fn back_ends_get_the_remaining_time() {
     let (cluster, applications) = cluster_with(2).await;
     applications[0].set_fault(EngineFault::Silent, None);
     applications[1].set_fault(EngineFault::Silent, None);
@@ -142,14 +141,20 @@
     let runs = applications
         .iter()
         .flat_map(|application| application.runs());
-    let given: Vec<u64> = runs.filter_map(|run| run.deadline_ms).collect();
-    assert!(given.len() >= 2);
-    assert!(given.iter().all(|time| *time <= 1_500), "{given:?}");
-    assert!(given.iter().any(|time| *time < 1_480), "{given:?}");
+    let deadlines_ms: Vec<u64> = runs.filter_map(|run| run.deadline_ms).collect();
+    assert!(deadlines_ms.len() >= 2);
+    assert!(
+        deadlines_ms.iter().all(|time| *time <= 1_500),
+        "{deadlines_ms:?}"
+    );
+    assert!(
+        deadlines_ms.iter().any(|time| *time < 1_480),
+        "{deadlines_ms:?}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn work_for_a_caller_that_left_is_closed() {
+async fn requests_of_disconnected_callers_are_closed() {
     let (cluster, applications) = cluster_with(1).await;
     applications[0].set_pace(Duration::from_secs(5));
     let names = cluster.names();
@@ -160,11 +165,11 @@
         let runs = applications[0].runs();
         runs.iter().all(|run| run.abandoned).then_some(())
     };
-    eventually("the back end's work is closed", is_closed).await;
+    eventually("the request at the back end is closed", is_closed).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_back_end_that_was_lost_is_used_again_though_its_row_does_not_change() {
+async fn failed_back_end_is_used_again_without_a_row_change() {
     let (cluster, applications) = cluster_with(1).await;
     applications[0].set_fault(EngineFault::AnswerLost, Some(3));
     let first = live(&cluster, 0, "/live/x", "r1").await.expect("an answer");
@@ -177,14 +182,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn shares_of_a_split_route_are_met() {
+async fn split_route_follows_its_weights() {
     let (mut cluster, _applications) = cluster_with(1).await;
     let other = EngineStandIn::start(
         Arc::new(sloetrail_serving_testkit::wire::NativeWire),
         "other",
         "zone-a",
         &[],
-        PACE,
+        EVENT_INTERVAL,
     )
     .await;
     cluster.list(&other);
@@ -224,18 +229,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_address_that_another_service_took_over_runs_nothing() {
+async fn address_reused_by_another_service_gets_no_requests() {
     let (cluster, applications) = cluster_with(2).await;
-    let gone = preferred(&cluster, &applications).await;
-    gone.crash();
+    let crashed = preferred(&cluster, &applications).await;
+    crashed.crash();
     tokio::time::sleep(Duration::from_millis(50)).await;
-    let newcomer = EngineStandIn::start_at(
-        gone.address(),
+    let successor = EngineStandIn::start_at(
+        crashed.address(),
         Arc::new(sloetrail_serving_testkit::wire::NativeWire),
         "other",
         "zone-a",
         &[],
-        PACE,
+        EVENT_INTERVAL,
     )
     .await;
     for number in 0..20 {
@@ -243,20 +248,20 @@
         let answer = live(&cluster, 0, "/live/x", &id).await.expect("an answer");
         assert_eq!(answer.status, 200);
     }
-    assert!(newcomer.runs().is_empty());
+    assert!(successor.runs().is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_refuses_what_it_cannot_hold() {
+async fn requests_beyond_the_body_budget_are_refused() {
     let mut cluster = native_cluster();
     cluster.body_budget_bytes = Some(500_000);
     let application = cluster.add_application("zone-a").await;
     application.set_pace(Duration::from_millis(400));
-    cluster.add_engine(PACE).await;
+    cluster.add_engine(EVENT_INTERVAL).await;
     let node = cluster.add_node("node-1").await;
     cluster.wait_ready(node).await;
     let names = cluster.names();
-    let asking: Vec<_> = (0..5)
+    let in_flight: Vec<_> = (0..5)
         .map(|number| {
             let call = Call::new(http::Method::POST, HOST, "/once/x")
                 .header(&names.request_id, &format!("r{number}"))
@@ -266,8 +271,8 @@
         })
         .collect();
     let mut served = 0;
-    for (number, asked) in asking.into_iter().enumerate() {
-        let answer = asked.await.expect("no panic").expect("an answer");
+    for (number, pending) in in_flight.into_iter().enumerate() {
+        let answer = pending.await.expect("no panic").expect("an answer");
         let runs = runs_of(std::slice::from_ref(&application), &format!("r{number}"));
         match answer.status.as_u16() {
             200 => served += runs,
@@ -276,12 +281,15 @@
                 assert_eq!(answer.json()["code"], 1102);
                 assert!(answer.headers.contains_key("retry-after"));
             }
-            other => panic!("{other}"),
+            other => panic!("unexpected status {other}"),
         }
     }
-    assert!((1..=2).contains(&served), "{served} of 5 fit");
-    let again = live(&cluster, node, "/live/x", "later").await;
-    assert_eq!(again.expect("an answer").status, 200);
+    assert!(
+        (1..=2).contains(&served),
+        "{served} of 5 requests were served"
+    );
+    let later = live(&cluster, node, "/live/x", "later").await;
+    assert_eq!(later.expect("an answer").status, 200);
     let too_large = Call::new(http::Method::POST, HOST, "/live/x")
         .header(&names.request_id, "large")
         .body(vec![b'x'; 1_000_001]);
@@ -290,12 +298,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn back_ends_that_are_all_slow_do_not_get_every_request_twice() {
+async fn uniformly_slow_back_ends_get_few_hedged_requests() {
     const CALLERS: usize = 5;
     const REQUESTS: usize = 12;
     let (cluster, applications) = cluster_with(2).await;
     for application in &applications {
-        // Longer than a second back end is waited for (70 ms of the target's 200).
+        // Longer than the hedging delay (70 ms at a latency target of 200 ms).
         application.set_pace(Duration::from_millis(120));
     }
     let cluster = Arc::new(cluster);
@@ -310,27 +318,33 @@
         })
     });
     for calling in calling.collect::<Vec<_>>() {
-        calling.await.expect("answered");
+        calling.await.expect("all answers have status 200");
     }
     let runs = applications
         .iter()
         .map(|application| application.runs().len());
-    let again = runs.sum::<usize>() - CALLERS * REQUESTS;
-    // The first ones, until the node knows how long answers take.
-    assert!(again <= CALLERS * REQUESTS / 5, "{again} sent twice");
+    let hedged = runs.sum::<usize>() - CALLERS * REQUESTS;
+    // Requests are hedged until the node has learned the latency.
+    assert!(
+        hedged <= CALLERS * REQUESTS / 5,
+        "{hedged} requests were sent twice"
+    );
 }
 
-/// How long callers are told to stay away, in seconds.
+/// Returns the value of Retry-After in seconds.
 fn retry_after(answer: &sloetrail_serving_testkit::client::Answer) -> f64 {
     let text = answer
         .headers
         .get("retry-after")
-        .expect("when to come back");
-    text.to_str().expect("text").parse().expect("seconds")
+        .expect("a Retry-After header");
+    text.to_str()
+        .expect("printable characters")
+        .parse()
+        .expect("a number of seconds")
 }
 
-/// Loses every application so often that it is left alone for a while.
-async fn lose_all(cluster: &Cluster, applications: &[Arc<EngineStandIn>]) {
+/// Crashes all applications and sends requests until the node backs off from them.
+async fn crash_all(cluster: &Cluster, applications: &[Arc<EngineStandIn>]) {
     for application in applications {
         application.crash();
     }
@@ -341,57 +355,63 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_cannot_be_had_soon_is_refused_at_once_and_told_when_it_may_be_had() {
+async fn unavailable_service_refuses_at_once_with_retry_after() {
     let (cluster, applications) = cluster_with(2).await;
     for number in 0..20 {
         live(&cluster, 0, "/live/x", &format!("r{number}")).await;
     }
-    lose_all(&cluster, &applications).await;
-    let (mut told, mut held) = (Vec::new(), Vec::new());
+    crash_all(&cluster, &applications).await;
+    let (mut retry_after_s, mut latencies) = (Vec::new(), Vec::new());
     for number in 0..12 {
         let watch = Stopwatch::start();
         let answer = live(&cluster, 0, "/once/x", &format!("refused{number}")).await;
         let answer = answer.expect("an answer");
-        held.push(watch.elapsed());
+        latencies.push(watch.elapsed());
         assert_eq!(answer.status, 503, "{}", answer.text());
-        told.push(retry_after(&answer));
+        retry_after_s.push(retry_after(&answer));
     }
-    held.sort_unstable();
-    let median = held[held.len() / 2];
+    latencies.sort_unstable();
+    let median = latencies[latencies.len() / 2];
     assert!(
         median < Duration::from_millis(25),
-        "{median:?}: held in vain"
+        "median latency of a refusal: {median:?}"
+    );
+    let longest = retry_after_s.iter().copied().fold(0.0, f64::max);
+    assert!(
+        longest > 0.1,
+        "{retry_after_s:?}: callers return before the backoff ends"
+    );
+    assert!(
+        retry_after_s.iter().all(|time| *time <= 0.5),
+        "{retry_after_s:?}: longer than callers may be told to wait"
     );
-    let longest = told.iter().copied().fold(0.0, f64::max);
-    assert!(longest > 0.1, "{told:?}: back before the pause is over");
+    retry_after_s.sort_by(f64::total_cmp);
+    retry_after_s.dedup();
     assert!(
-        told.iter().all(|time| *time <= 0.5),
-        "{told:?}: callers heed a third"
+        retry_after_s.len() > 3,
+        "{retry_after_s:?}: too few distinct values"
     );
-    told.sort_by(f64::total_cmp);
-    told.dedup();
-    assert!(told.len() > 3, "{told:?}: spread out");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_place_that_comes_free_soon_is_waited_for() {
+async fn requests_wait_for_a_slot_that_frees_soon() {
     let (cluster, applications) = cluster_with(1).await;
     applications[0].set_pace(Duration::from_millis(60));
     for number in 0..4 {
         live(&cluster, 0, "/once/x", &format!("r{number}")).await;
     }
     let cluster = Arc::new(cluster);
-    let mut asking = Vec::new();
-    // More than the eight places of the only application, which come free one by one.
+    let mut in_flight = Vec::new();
+    // More than the eight slots of the only application, which become free one by one.
     for number in 0..12 {
-        let asker = Arc::clone(&cluster);
-        asking.push(tokio::spawn(async move {
-            live(&asker, 0, "/once/x", &format!("o{number}")).await
+        let caller = Arc::clone(&cluster);
+        in_flight.push(tokio::spawn(async move {
+            live(&caller, 0, "/once/x", &format!("o{number}")).await
         }));
         tokio::time::sleep(Duration::from_millis(6)).await;
     }
-    for asked in asking {
-        let answer = asked.await.expect("no panic").expect("an answer");
+    for pending in in_flight {
+        let answer = pending.await.expect("no panic").expect("an answer");
         assert_eq!(answer.status, 200, "{}", answer.text());
     }
 }
--- a/crates/sloetrail-serving/tests/regions.rs
+++ b/crates/sloetrail-serving/tests/regions.rs
@@ -1,5 +1,4 @@
-//! Work that is bound to regions: where it runs, who owns it and who carries it, also while
-//! back ends and nodes fail.
+//! Region-bound work: placement, ownership and relaying, also while back ends and nodes fail.
 
 mod support;
 
@@ -13,18 +12,17 @@
 use std::time::Duration;
 use support::{accepted, assert_each_once, client_cluster, items, live, submit_items};
 
-const PACE: Duration = Duration::from_millis(10);
-/// Zones, with their regions.
+const EVENT_INTERVAL: Duration = Duration::from_millis(10);
 const NORTH_ZONE: &str = "zone-a";
 const NORTH_ZONE_TWO: &str = "zone-c";
 const SOUTH_ZONE: &str = "zone-b";
 const NORTH_KEY: &str = "north-key";
 const SOUTH_KEY: &str = "south-key";
-/// A refusal that waits for nothing takes a few milliseconds. With the routes' target of two
-/// seconds one that waits for a back end takes 400 at least.
-const AT_ONCE: Duration = Duration::from_millis(300);
+/// Bound for a refusal without a wait. With the routes' latency target of two seconds, a refusal
+/// after a wait for a back end takes at least 400 ms.
+const MAX_IMMEDIATE_REFUSAL: Duration = Duration::from_millis(300);
 
-/// The usual routes, those of these names bound to a region.
+/// Returns the usual routes with the named ones bound to a region.
 fn bound_routes(names: &[&str], region: &str) -> Value {
     let mut routes = usual_routes();
     for route in routes.as_array_mut().expect("a list") {
@@ -36,13 +34,13 @@
     routes
 }
 
-/// A batch of six items that are scored.
+/// Returns a batch of six items with reward calls.
 fn rewarded_batch() -> Value {
     let rewarded = items(6, 5).into_iter().map(|item| with_reward(item, HOST));
     batch(&rewarded.collect::<Vec<Value>>(), MODEL, 1)
 }
 
-/// Back ends of both services in both regions, and no nodes yet.
+/// Starts back ends of both services in both regions, without nodes.
 async fn cluster(routes: Value) -> Cluster {
     let mut cluster = client_cluster();
     let regions = [
@@ -55,7 +53,7 @@
     cluster.configure(routes);
     for zone in [NORTH_ZONE, SOUTH_ZONE] {
         cluster.add_application(zone).await;
-        cluster.add_engine_in(zone, PACE).await;
+        cluster.add_engine_in(zone, EVENT_INTERVAL).await;
     }
     cluster
 }
@@ -70,46 +68,46 @@
 fn back_end(cluster: &Cluster, service: &str, zone: &str) -> Arc<EngineStandIn> {
     let mut back_ends = cluster.engines.iter();
     let found = back_ends.find(|engine| engine.service == service && engine.zone == zone);
-    Arc::clone(found.expect("one in each zone"))
+    Arc::clone(found.expect("a back end in the zone"))
 }
 
 fn runs_in(cluster: &Cluster, zone: &str) -> usize {
-    let here = cluster.engines.iter().filter(|engine| engine.zone == zone);
-    here.map(|engine| engine.runs().len()).sum()
+    let engines = cluster.engines.iter().filter(|engine| engine.zone == zone);
+    engines.map(|engine| engine.runs().len()).sum()
 }
 
-/// The holder of a lease, as its row names it.
-fn holder(cluster: &Cluster, subject: &str) -> Option<String> {
+/// Returns the node name of a lease's holder.
+fn holder(cluster: &Cluster, resource: &str) -> Option<String> {
     let rows = cluster.table.rows("sloetrail_leases");
-    let key = format!("lease/{subject}");
+    let key = format!("lease/{resource}");
     let row = rows.iter().find(|row| row.address.key == key)?;
     let record: Value = serde_json::from_slice(&row.value).ok()?;
     let holder = record["holder"].as_str()?;
     Some(holder.split('/').next()?.to_owned())
 }
 
-async fn wait_holder(cluster: &Cluster, subject: &str) -> String {
-    eventually("somebody holds the lease", || async {
-        holder(cluster, subject)
+async fn wait_holder(cluster: &Cluster, resource: &str) -> String {
+    eventually("a node holds the lease", || async {
+        holder(cluster, resource)
     })
     .await
 }
 
-/// The code of a request that route and tenant allow nowhere.
-const ALLOWED_NOWHERE: u64 = 1112;
-/// The code of a request whose regions have no back end that takes work.
-const NO_ALLOWED_ENGINE: u64 = 1113;
+/// The error code if route and tenant allow no common region.
+const NO_ALLOWED_REGION: u64 = 1112;
+/// The error code if no back end in the allowed regions accepts work.
+const NO_BACK_END_IN_REGION: u64 = 1113;
 
 fn assert_refused_at_once(answer: &Answer, watch: &Stopwatch, code: u64) {
     let took = watch.elapsed();
     assert_eq!(answer.status, 503, "{}", answer.text());
     assert_eq!(answer.json()["code"], code, "{}", answer.text());
     assert!(answer.headers.contains_key("retry-after"));
-    assert!(took < AT_ONCE, "refused after {took:?}");
+    assert!(took < MAX_IMMEDIATE_REFUSAL, "refused after {took:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_live_request_reaches_back_ends_of_its_region_alone_also_when_these_fail() {
+async fn bound_live_requests_never_leave_their_region() {
     let mut cluster = cluster(bound_routes(&["live", "events"], "south")).await;
     add_nodes(&mut cluster, &[("node-1", NORTH_ZONE)]).await;
     for number in 0..10 {
@@ -126,18 +124,18 @@
         let answer = live(&cluster, 0, "/live/x", "drains").await?;
         (answer.status == 503).then_some(())
     };
-    eventually("the node knows that it drains", is_known).await;
+    eventually("the node knows that the back end drains", is_known).await;
     for path in ["/live/x", "/events/x"] {
         let watch = Stopwatch::start();
         let answer = live(&cluster, 0, path, "refused").await.expect("an answer");
-        assert_refused_at_once(&answer, &watch, NO_ALLOWED_ENGINE);
+        assert_refused_at_once(&answer, &watch, NO_BACK_END_IN_REGION);
     }
     assert_eq!(runs_in(&cluster, NORTH_ZONE), 0);
     assert!(runs_in(&cluster, SOUTH_ZONE) >= 11);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_batch_stays_in_its_region_and_waits_while_no_node_of_it_is_left() {
+async fn bound_batch_waits_while_its_region_has_no_node() {
     const NODES: [(&str, &str); 3] = [
         ("node-1", NORTH_ZONE),
         ("node-2", SOUTH_ZONE),
@@ -157,16 +155,19 @@
         (holder != first).then_some(holder)
     };
     assert_ne!(
-        eventually("it is replaced", is_replaced).await,
+        eventually("another node holds the lease", is_replaced).await,
         "node-1",
-        "it lies in the other region"
+        "node-1 is in the other region"
     );
     cluster.nodes[1].kill();
     cluster.nodes[2].kill();
-    let left = cluster.read(0, "b1", 0).await.expect("a page");
-    let listed = left["results"].as_array().expect("a list").len();
-    assert!(listed < ITEMS, "{listed} are listed before nobody is left");
-    // Three times as long as a lease lasts.
+    let page = cluster.read(0, "b1", 0).await.expect("a page");
+    let listed = page["results"].as_array().expect("a list").len();
+    assert!(
+        listed < ITEMS,
+        "all {listed} items ended before the region lost its nodes"
+    );
+    // Three lease durations.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let later = cluster.read(0, "b1", 0).await.expect("a page");
     assert_eq!(later["results"].as_array().expect("a list").len(), listed);
@@ -175,11 +176,11 @@
     assert_eq!(wait_holder(&cluster, "models@south").await, "node-4");
     assert_eq!(runs_in(&cluster, NORTH_ZONE), 0);
     let submissions = cluster.nodes[0].link.uses_of("sloetrail_submissions");
-    assert_eq!(submissions.reads, 0, "the node only took the submission");
+    assert_eq!(submissions.reads, 0, "node-1 only accepts the submission");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_batch_is_finished_by_a_node_that_never_saw_the_configuration_that_bound_it() {
+async fn bound_batch_stays_bound_after_a_configuration_change() {
     const ITEMS: usize = 30;
     let mut cluster = cluster(bound_routes(&["rollout"], "south")).await;
     add_nodes(
@@ -199,7 +200,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn batches_of_regions_that_have_none_in_common_run_at_once() {
+async fn batches_of_disjoint_regions_run_concurrently() {
     let mut cluster = cluster(usual_routes()).await;
     cluster.tenants = Some(json!([
         {"name": "north", "api_keys": [NORTH_KEY], "allowed_regions": ["north"]},
@@ -231,7 +232,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_route_and_tenant_allow_nowhere_is_refused_at_once_and_leaves_nothing() {
+async fn work_without_an_allowed_region_is_refused_at_once() {
     let mut cluster = cluster(usual_routes()).await;
     cluster.tenants = Some(json!([
         {"name": "north", "api_keys": [NORTH_KEY], "allowed_regions": ["north"]},
@@ -245,7 +246,7 @@
     let watch = Stopwatch::start();
     let work = batch(&items(3, 5), MODEL, 1);
     let answer = cluster.submit(0, "b1", &work).await.expect("an answer");
-    assert_refused_at_once(&answer, &watch, ALLOWED_NOWHERE);
+    assert_refused_at_once(&answer, &watch, NO_ALLOWED_REGION);
     let names = cluster.names();
     for path in ["/live/x", "/once/x", "/events/x"] {
         let call = sloetrail_serving_testkit::client::Call::new(http::Method::POST, HOST, path)
@@ -254,7 +255,7 @@
             .body("question");
         let watch = Stopwatch::start();
         let answer = cluster.keyed(call).send(cluster.nodes[0].callers).await;
-        assert_refused_at_once(&answer.expect("an answer"), &watch, ALLOWED_NOWHERE);
+        assert_refused_at_once(&answer.expect("an answer"), &watch, NO_ALLOWED_REGION);
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
     for table in ["sloetrail_batches", "sloetrail_submissions"] {
@@ -267,7 +268,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_batch_is_owned_where_its_reward_calls_may_be_made() {
+async fn batch_is_owned_in_the_region_of_its_reward_calls() {
     let mut cluster = cluster(bound_routes(&["live"], "south")).await;
     add_nodes(
         &mut cluster,
@@ -283,15 +284,15 @@
     assert_eq!((submissions.reads, submissions.writes), (0, 0));
 }
 
-/// What is scored was made for a batch that is bound: the call's own route need not be.
+/// Reward calls of a bound batch stay in its regions even if their own route is not bound.
 #[tokio::test(flavor = "multi_thread")]
-async fn texts_of_a_bound_batch_are_scored_in_its_regions() {
+async fn reward_calls_of_a_bound_batch_stay_in_its_regions() {
     let mut cluster = cluster(bound_routes(&["rollout"], "south")).await;
     add_nodes(&mut cluster, &[("node-1", SOUTH_ZONE)]).await;
     wait_holder(&cluster, "models@south").await;
-    // The nearest back end refuses, so that calls would go to another region if they might.
-    let near = back_end(&cluster, "application", SOUTH_ZONE);
-    near.set_fault(EngineFault::Refuses, Some(4));
+    // The nearest back end refuses, so that unbound calls would go to another region.
+    let nearest = back_end(&cluster, "application", SOUTH_ZONE);
+    nearest.set_fault(EngineFault::Refuses, Some(4));
     let work = rewarded_batch();
     accepted(&cluster, 0, "b1", &work).await;
     assert_each_once(&cluster.wait_results(0, "b1", 6).await, 6);
@@ -299,7 +300,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn only_the_owner_of_unbound_batches_gives_orders() {
+async fn only_the_unbound_owner_orders_weights() {
     let mut cluster = cluster(bound_routes(&["rollout"], "south")).await;
     add_nodes(&mut cluster, &[("node-1", NORTH_ZONE)]).await;
     assert_eq!(wait_holder(&cluster, "models").await, "node-1");
@@ -310,8 +311,8 @@
     accepted(&cluster, 0, "b1", &work).await;
     let south = back_end(&cluster, "models", SOUTH_ZONE);
     let is_ordered = || async { (south.version(MODEL) == 2).then_some(()) };
-    eventually("its engine has the version", is_ordered).await;
-    // Engines write their rows anew; the owner of the batch learns of the version there.
+    eventually("the engine in the south has the version", is_ordered).await;
+    // Engines update their rows periodically; the batch's owner reads the version there.
     cluster.list(&south);
     assert_each_once(&cluster.wait_results(0, "b1", 20).await, 20);
     let orders: Vec<String> = cluster
@@ -328,7 +329,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_submissions_of_a_node_that_is_cut_off_are_carried_in_its_region_alone() {
+async fn submissions_are_relayed_only_within_the_region() {
     const NODES: [(&str, &str); 4] = [
         ("node-1", NORTH_ZONE),
         ("node-2", NORTH_ZONE_TWO),
@@ -339,24 +340,24 @@
     let mut cluster = cluster(usual_routes()).await;
     cluster.peers = true;
     add_nodes(&mut cluster, &NODES).await;
-    // The nodes look at the rows of the others every few seconds.
+    // Nodes read the rows of other nodes every few seconds.
     tokio::time::sleep(Duration::from_millis(5_500)).await;
     cluster.nodes[0].link.set_cut(true);
     for number in 0..6 {
         let id = format!("b{number}");
-        let is_taken = || async {
+        let is_accepted = || async {
             let answer = cluster
                 .submit(0, &id, &batch(&items(2, 3), MODEL, 1))
                 .await?;
             (answer.status == 202).then_some(())
         };
-        eventually("the batch is taken", is_taken).await;
+        eventually("the batch is accepted", is_accepted).await;
     }
     let writes = |node: usize| cluster.nodes[node].link.uses_of(SUBMISSIONS).writes;
     assert!(writes(1) >= 6);
     assert_eq!((writes(2), writes(3)), (0, 0));
     cluster.nodes[1].kill();
-    // By then the others carry what may leave the region.
+    // By then the remaining nodes relay calls that may leave the region.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     for _ in 0..3 {
         let watch = Stopwatch::start();
@@ -367,7 +368,7 @@
         assert_eq!(refused.status, 503, "{}", refused.text());
         assert_eq!(refused.json()["kind"], "not_run");
         assert!(refused.headers.contains_key("retry-after"));
-        assert!(watch.elapsed() < Duration::from_millis(500), "at once");
+        assert!(watch.elapsed() < Duration::from_millis(500), "refused late");
     }
     let rows = cluster.table.rows(SUBMISSIONS);
     assert!(rows.iter().all(|row| !row.address.key.starts_with("b9/")));
@@ -375,9 +376,10 @@
     assert_eq!((writes(2), writes(3)), (0, 0));
 }
 
-/// A batch follows the configuration that accepted it, also when it is sent again.
+/// A resubmitted batch follows the configuration that accepted it. Guards against a "not run" answer
+/// for a batch that runs.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_accepted_batch_that_is_allowed_nowhere_any_more_is_never_told_that_it_does_not_run() {
+async fn accepted_batch_is_never_refused_after_a_rebinding() {
     const ITEMS: usize = 30;
     let mut cluster = cluster(usual_routes()).await;
     cluster.tenants = Some(json!([
@@ -387,30 +389,30 @@
     cluster.api_key = Some(NORTH_KEY.to_owned());
     add_nodes(&mut cluster, &[("node-1", NORTH_ZONE)]).await;
     wait_holder(&cluster, "models@north").await;
-    // The holder of the leases reads the heads all the time; this one does not.
+    // The lease holder reads batch heads continuously; this node does not.
     add_nodes(&mut cluster, &[("node-2", NORTH_ZONE)]).await;
     let work = batch(&items(ITEMS, 60), MODEL, 1);
     let answer = cluster.submit(1, "b1", &work).await.expect("an answer");
     assert_eq!(answer.status, 202, "{}", answer.text());
     cluster.configure(bound_routes(&["rollout"], "south"));
-    let tries = AtomicUsize::new(0);
+    let attempts = AtomicUsize::new(0);
     let is_refused = || async {
-        // Each try is a batch of its own: one that was accepted is accepted again.
-        let id = format!("new-{}", tries.fetch_add(1, Ordering::Relaxed));
+        // Use a new batch for each attempt, since an accepted one is accepted again.
+        let id = format!("new-{}", attempts.fetch_add(1, Ordering::Relaxed));
         let answer = cluster.submit(1, &id, &work).await?;
         (answer.status == 503).then_some(())
     };
-    eventually("no batch is accepted any more", is_refused).await;
-    let heads = || cluster.nodes[1].link.uses_of("sloetrail_batches").reads;
-    let before = heads();
+    eventually("new batches are refused", is_refused).await;
+    let head_reads = || cluster.nodes[1].link.uses_of("sloetrail_batches").reads;
+    let before = head_reads();
     let repeated = cluster.submit(1, "b1", &work).await.expect("an answer");
     assert_eq!(repeated.status, 202, "{}", repeated.text());
-    assert_eq!(heads() - before, 1);
-    let before = heads();
+    assert_eq!(head_reads() - before, 1);
+    let before = head_reads();
     let watch = Stopwatch::start();
     let refused = cluster.submit(1, "b3", &work).await.expect("an answer");
-    assert_refused_at_once(&refused, &watch, ALLOWED_NOWHERE);
-    assert!(heads() - before <= 1);
+    assert_refused_at_once(&refused, &watch, NO_ALLOWED_REGION);
+    assert!(head_reads() - before <= 1);
     cluster.table.set_down(true);
     for _ in 0..3 {
         let answer = cluster.submit(1, "b1", &work).await.expect("an answer");
@@ -427,11 +429,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_small_node_owns_the_batches_of_a_region_where_there_is_no_other() {
-    const SMALL: f64 = 0.12;
+async fn small_node_owns_batches_if_alone_in_its_region() {
+    const SMALL_SHARE: f64 = 0.12;
     let mut cluster = cluster(bound_routes(&["rollout"], "south")).await;
     add_nodes(&mut cluster, &[("node-1", NORTH_ZONE)]).await;
-    cluster.processor_share = Some(SMALL);
+    cluster.processor_share = Some(SMALL_SHARE);
     add_nodes(&mut cluster, &[("node-2", SOUTH_ZONE)]).await;
     assert_eq!(wait_holder(&cluster, "models@south").await, "node-2");
     submit_bound(&cluster, 0, "b1", 6).await;
@@ -439,20 +441,20 @@
     assert_eq!(runs_in(&cluster, NORTH_ZONE), 0);
 }
 
-/// The configuration names regions that the settings of the node say nothing of.
+/// The configuration names regions that are missing in the node's settings.
 #[tokio::test(flavor = "multi_thread")]
-async fn bound_work_goes_nowhere_from_a_node_that_knows_no_regions() {
-    const WAITED: Duration = Duration::from_millis(1_500);
+async fn node_without_regions_sends_no_bound_work() {
+    const OBSERVATION_TIME: Duration = Duration::from_millis(1_500);
     let mut cluster = cluster(bound_routes(&["rollout", "live", "events"], "south")).await;
     let regions = std::mem::take(&mut cluster.regions);
     add_nodes(&mut cluster, &[("node-1", SOUTH_ZONE)]).await;
     for path in ["/live/x", "/events/x"] {
         let watch = Stopwatch::start();
         let answer = live(&cluster, 0, path, "refused").await.expect("an answer");
-        assert_refused_at_once(&answer, &watch, NO_ALLOWED_ENGINE);
+        assert_refused_at_once(&answer, &watch, NO_BACK_END_IN_REGION);
     }
     submit_bound(&cluster, 0, "b1", 6).await;
-    tokio::time::sleep(WAITED).await;
+    tokio::time::sleep(OBSERVATION_TIME).await;
     assert_eq!(holder(&cluster, "models@south"), None);
     assert_eq!(
         runs_in(&cluster, NORTH_ZONE) + runs_in(&cluster, SOUTH_ZONE),
@@ -465,21 +467,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn while_the_only_zone_of_a_region_is_evacuated_calls_are_refused_and_batches_wait() {
-    const HEARD: Duration = Duration::from_millis(300);
-    const WAITED: Duration = Duration::from_millis(1_000);
+async fn evacuated_region_refuses_calls_and_delays_batches() {
+    const UPDATE_TIME: Duration = Duration::from_millis(300);
+    const OBSERVATION_TIME: Duration = Duration::from_millis(1_000);
     let mut cluster = cluster(bound_routes(&["rollout", "live", "events"], "south")).await;
     add_nodes(&mut cluster, &[("node-1", SOUTH_ZONE)]).await;
     wait_holder(&cluster, "models@south").await;
     cluster.evacuate(SOUTH_ZONE);
-    tokio::time::sleep(HEARD).await;
+    tokio::time::sleep(UPDATE_TIME).await;
     for path in ["/live/x", "/events/x"] {
         let watch = Stopwatch::start();
         let answer = live(&cluster, 0, path, "refused").await.expect("an answer");
-        assert_refused_at_once(&answer, &watch, NO_ALLOWED_ENGINE);
+        assert_refused_at_once(&answer, &watch, NO_BACK_END_IN_REGION);
     }
     submit_bound(&cluster, 0, "b1", 6).await;
-    tokio::time::sleep(WAITED).await;
+    tokio::time::sleep(OBSERVATION_TIME).await;
     assert_eq!(
         runs_in(&cluster, NORTH_ZONE) + runs_in(&cluster, SOUTH_ZONE),
         0
@@ -490,7 +492,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_batch_whose_tenant_is_bound_elsewhere_by_now_is_accepted_again_and_stays() {
+async fn resubmitted_batch_keeps_its_region_after_a_rebinding() {
     const ITEMS: usize = 30;
     let tenant = |region: &str| {
         json!([
--- a/crates/sloetrail-serving/tests/support/mod.rs
+++ b/crates/sloetrail-serving/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of this folder share.
+//! Helpers shared by the integration tests.
 
 #[allow(dead_code, reason = "not every test file needs it")]
 pub mod fragile;
@@ -18,26 +18,25 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A cluster in the product's own dialect.
+/// Returns a cluster with the native dialect.
 pub fn native_cluster() -> Cluster {
     Cluster::new(Arc::new(NativeWire), Arc::new(NativeDialect::default()))
 }
 
-/// A cluster in that dialect whose nodes reach the table through a client, which gives
-/// calls up.
+/// Returns a native cluster whose nodes reach the table through a client with call timeouts.
 #[allow(dead_code, reason = "not every test file needs it")]
 pub fn client_cluster() -> Cluster {
     native_cluster().with_table(|link| TableClient::new(Arc::new(LinkTransport(link))))
 }
 
-/// A cluster with two nodes, two applications and two engines, ready.
+/// Starts two applications, two engines and two nodes, and waits until the nodes are ready.
 #[allow(dead_code, reason = "not every test file needs it")]
-pub async fn usual_cluster(pace: Duration) -> Cluster {
+pub async fn usual_cluster(event_interval: Duration) -> Cluster {
     let mut cluster = native_cluster();
     cluster.add_application("zone-a").await;
     cluster.add_application("zone-b").await;
-    cluster.add_engine(pace).await;
-    cluster.add_engine(pace).await;
+    cluster.add_engine(event_interval).await;
+    cluster.add_engine(event_interval).await;
     for name in ["node-1", "node-2"] {
         let node = cluster.add_node(name).await;
         cluster.wait_ready(node).await;
@@ -45,7 +44,7 @@
     cluster
 }
 
-/// Makes a live request.
+/// Sends a live request. Returns None if no answer came.
 #[allow(dead_code, reason = "not every test file needs it")]
 pub async fn live(cluster: &Cluster, node: usize, path: &str, id: &str) -> Option<Answer> {
     let names = cluster.names();
@@ -57,28 +56,28 @@
         .await
 }
 
-/// Items of that many events, each a group of its own.
+/// Returns items with `events` events, each in its own group.
 #[allow(dead_code, reason = "not every test file needs it")]
 pub fn items(count: usize, events: u64) -> Vec<Value> {
     let item = |number: usize| item(&format!("i{number}"), &format!("g{number}"), events);
     (0..count).map(item).collect()
 }
 
-/// Submits a batch, which must be accepted.
+/// Submits a batch and asserts that it is accepted.
 #[allow(dead_code, reason = "not every test file needs it")]
 pub async fn accepted(cluster: &Cluster, node: usize, id: &str, batch: &Value) {
     let answer = cluster.submit(node, id, batch).await.expect("an answer");
     assert_eq!(answer.status, 202, "{}", answer.text());
 }
 
-/// Submits a batch of so many items of so many events, which must be accepted.
+/// Submits a batch of `count` items with `events` events each and asserts that it is accepted.
 #[allow(dead_code, reason = "not every test file needs it")]
 pub async fn submit_items(cluster: &Cluster, node: usize, id: &str, count: usize, events: u64) {
     let work = batch(&items(count, events), MODEL, 1);
     accepted(cluster, node, id, &work).await;
 }
 
-/// Asserts that each of `count` items is listed, once.
+/// Asserts that `results` lists `count` distinct items, each once.
 #[allow(dead_code, reason = "not every test file needs it")]
 pub fn assert_each_once(results: &[Value], count: usize) {
     let ids: BTreeSet<&str> = results
@@ -88,7 +87,7 @@
     assert_eq!((ids.len(), results.len()), (count, count));
 }
 
-/// The record in the lease's row, if there is one.
+/// Returns the record in the row of the `models` lease.
 #[allow(dead_code, reason = "not every test file needs it")]
 pub fn lease(cluster: &Cluster) -> Option<Value> {
     let rows = cluster.table.rows("sloetrail_leases");
@@ -96,7 +95,7 @@
     serde_json::from_slice(&row.value).ok()
 }
 
-/// The node that holds the lease, by its name in the lease's row.
+/// Waits for a holder of the `models` lease and returns the index of its node.
 #[allow(dead_code, reason = "not every test file needs it")]
 pub async fn lease_holder(cluster: &Cluster) -> usize {
     let names = ["node-1", "node-2", "node-3"];
@@ -105,16 +104,16 @@
         let holder = lease["holder"].as_str()?;
         names.iter().position(|name| holder.starts_with(name))
     };
-    eventually("somebody holds the lease", found).await
+    eventually("a node holds the lease", found).await
 }
 
-/// How much more than they bear cold back ends may get.
+/// Returns the allowed excess of requests at cold back ends.
 #[allow(dead_code, reason = "not every test file needs it")]
 pub fn tolerance(excess: f64, slack: f64) -> Option<RawColdSettings> {
     Some(RawColdSettings { excess, slack })
 }
 
-/// The most arrivals in any second.
+/// Returns the maximum number of arrivals within any second.
 #[allow(dead_code, reason = "not every test file needs it")]
 pub fn max_arrivals_per_second(mut arrivals: Vec<Instant>) -> usize {
     arrivals.sort();
--- a/crates/sloetrail-serving/tests/tenants.rs
+++ b/crates/sloetrail-serving/tests/tenants.rs
@@ -1,5 +1,5 @@
-//! Tenants: callers are known by their keys, which go no further than the node; back ends
-//! are told the tenant, and a batch belongs to the tenant that submitted it.
+//! Tenants: callers are authenticated by API keys, back ends get the tenant's name but not the
+//! key, and batches are visible only to their tenant.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use support::{accepted, assert_each_once, client_cluster, items, submit_items};
 
-const PACE: Duration = Duration::from_millis(5);
+const EVENT_INTERVAL: Duration = Duration::from_millis(5);
 const NORTH: &str = "north-key";
 const SOUTH: &str = "south-key";
 
@@ -22,7 +22,7 @@
     ])
 }
 
-/// The usual routes, and one for everybody.
+/// Returns the usual routes and a public one.
 fn routes() -> Value {
     let mut routes = usual_routes();
     let mut open = routes[0].clone();
@@ -39,7 +39,7 @@
     cluster.tenants = Some(tenants(&[NORTH]));
     cluster.configure(routes());
     cluster.add_application("zone-a").await;
-    cluster.add_engine(PACE).await;
+    cluster.add_engine(EVENT_INTERVAL).await;
     let node = cluster.add_node("node-1").await;
     cluster.wait_ready(node).await;
     cluster
@@ -69,10 +69,10 @@
 
 fn run_of(cluster: &Cluster, id: &str) -> RunRecord {
     let mut runs = runs(cluster).into_iter();
-    runs.find(|run| run.id == id).expect("it ran")
+    runs.find(|run| run.id == id).expect("the request ran")
 }
 
-fn assert_no_key_was_passed_on(cluster: &Cluster) {
+fn assert_no_key_was_forwarded(cluster: &Cluster) {
     let key = cluster.names().api_key;
     for run in runs(cluster) {
         assert!(!run.header_names.contains(key.as_str()), "{run:?}");
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_back_end_is_told_the_tenant_in_place_of_the_key() {
+async fn back_ends_get_the_tenant_instead_of_the_key() {
     let cluster = cluster().await;
     let bodies = [
         ("/live/x", "question"),
@@ -94,11 +94,11 @@
         assert_eq!(send(&cluster, &call).await.status, 200);
         assert_eq!(run_of(&cluster, path).tenant.as_deref(), Some("north"));
     }
-    assert_no_key_was_passed_on(&cluster);
+    assert_no_key_was_forwarded(&cluster);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_without_a_known_key_is_refused_and_runs_nowhere() {
+async fn requests_without_a_known_key_never_run() {
     let cluster = cluster().await;
     for key in [None, Some("unknown-key"), Some("")] {
         for path in ["/live/x", "/once/x", "/events/x", "/rollout/x"] {
@@ -114,7 +114,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_public_route_needs_no_key() {
+async fn public_routes_need_no_key() {
     let cluster = cluster().await;
     let names = cluster.names();
     let unknown = call(&cluster, "/open/x", "r1", None).header(&names.tenant, "north");
@@ -123,17 +123,17 @@
     let known = call(&cluster, "/open/x", "r2", Some(SOUTH));
     assert_eq!(send(&cluster, &known).await.status, 200);
     assert_eq!(run_of(&cluster, "r2").tenant.as_deref(), Some("south"));
-    assert_no_key_was_passed_on(&cluster);
+    assert_no_key_was_forwarded(&cluster);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn items_run_for_the_tenant_of_their_batch_and_rewards_for_nobody() {
+async fn items_carry_their_tenant_and_reward_calls_none() {
     let mut cluster = cluster().await;
     let names = cluster.names();
     cluster.api_key = Some(NORTH.to_owned());
     let mut items: Vec<Value> = items(4, 3);
     for item in &mut items {
-        // What a trainer writes into its items is no better than what a caller sends.
+        // Tenant and key headers in items must be ignored as in requests.
         item["headers"] = json!({names.tenant.as_str(): "south", names.api_key.as_str(): NORTH});
         *item = with_reward(item.clone(), HOST);
         item["reward"]["path"] = json!("/open/score");
@@ -144,11 +144,11 @@
         let expected = (!run.id.starts_with("reward-")).then_some("north");
         assert_eq!(run.tenant.as_deref(), expected, "{run:?}");
     }
-    assert_no_key_was_passed_on(&cluster);
+    assert_no_key_was_forwarded(&cluster);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_batch_does_not_exist_for_another_tenant() {
+async fn batches_of_other_tenants_are_not_found() {
     let mut cluster = cluster().await;
     cluster.api_key = Some(NORTH.to_owned());
     submit_items(&cluster, 0, "b1", 2, 3).await;
@@ -177,7 +177,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_that_is_taken_away_is_refused_soon_and_ends_no_batch() {
+async fn revoked_keys_are_refused_and_batches_continue() {
     let mut cluster = cluster().await;
     cluster.tenants = Some(tenants(&[NORTH, "north-second"]));
     cluster.configure(routes());
@@ -197,16 +197,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_cannot_learn_of_new_keys_sends_the_caller_to_another() {
+async fn unknown_keys_get_503_during_a_table_outage() {
     let cluster = cluster().await;
     cluster.table.set_down(true);
     let unknown = call(&cluster, "/live/x", "r1", Some("perhaps-new"));
     let callers = cluster.nodes[0].callers;
-    let is_put_off = || async {
+    let is_refused = || async {
         let answer = unknown.send(callers).await?;
         (answer.status == 503 && answer.json()["code"] == 1106).then_some(())
     };
-    eventually("the node finds that the table is away", is_put_off).await;
+    eventually("the node detects the table outage", is_refused).await;
     let known = call(&cluster, "/live/x", "r2", Some(NORTH));
     assert_eq!(send(&cluster, &known).await.status, 200);
 }
--- a/crates/sloetrail-serving/tests/usage.rs
+++ b/crates/sloetrail-serving/tests/usage.rs
@@ -1,5 +1,5 @@
-//! Usage: each request of a tenant that began is in one report, each window is reported
-//! once whatever happens to the nodes, and reports of two holders lie apart.
+//! Usage reports: each started request of a tenant is in exactly one report, each window is
+//! reported once despite node failures, and reports of two holders do not overlap.
 
 mod support;
 
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use support::{accepted, assert_each_once, client_cluster, items};
 
-/// As the cluster's nodes are set up.
+/// Matches the settings of the cluster's nodes.
 const ORDER_GAP: Duration = Duration::from_millis(800);
 const REPORTS: &str = "sloetrail_usage_reports";
 const WINDOWS: RawUsageSettings = RawUsageSettings {
@@ -24,7 +24,7 @@
 };
 
 async fn cluster(nodes: &[&str]) -> (Cluster, Arc<ReportBook>) {
-    let book = ReportBook::new();
+    let recorder = ReportBook::new();
     let mut cluster = client_cluster();
     cluster.tenants = Some(json!([
         {"name": "north", "api_keys": ["north-key"]},
@@ -40,7 +40,7 @@
     cluster.api_key = Some("north-key".to_owned());
     cluster.peers = true;
     cluster.usage = Some(WINDOWS);
-    cluster.recipient = Some(Arc::<ReportBook>::clone(&book));
+    cluster.recipient = Some(Arc::<ReportBook>::clone(&recorder));
     cluster.add_application("zone-a").await;
     cluster.add_application("zone-a").await;
     cluster.add_engine(Duration::from_millis(5)).await;
@@ -48,7 +48,7 @@
         let node = cluster.add_node(name).await;
         cluster.wait_ready(node).await;
     }
-    (cluster, book)
+    (cluster, recorder)
 }
 
 fn call(cluster: &Cluster, path: &str, id: &str, key: &str) -> Call {
@@ -60,8 +60,8 @@
         .body("question")
 }
 
-/// Makes requests of a tenant, one after the other; all of them are answered.
-async fn use_it(cluster: &Cluster, node: usize, tenant: &str, count: usize) {
+/// Sends `count` requests of a tenant one after the other and asserts that each succeeds.
+async fn send_requests(cluster: &Cluster, node: usize, tenant: &str, count: usize) {
     let key = format!("{tenant}-key");
     for number in 0..count {
         let id = format!("{tenant}-{node}-{number}");
@@ -71,28 +71,28 @@
     }
 }
 
-async fn wait_reported(book: &ReportBook, tenant: &str, count: u64) {
-    let is_reported = || async { (book.requests_of(tenant) >= count).then_some(()) };
+async fn wait_reported(recorder: &ReportBook, tenant: &str, count: u64) {
+    let is_reported = || async { (recorder.requests_of(tenant) >= count).then_some(()) };
     eventually("the requests are reported", is_reported).await;
-    assert_eq!(book.requests_of(tenant), count);
+    assert_eq!(recorder.requests_of(tenant), count);
 }
 
-/// Waits for reports of windows that are under way now.
-async fn wait_later_windows(book: &ReportBook, count: usize) {
-    let until = book.taken().len() + count;
-    let are_there = || async { (book.taken().len() >= until).then_some(()) };
-    eventually("later windows are reported", are_there).await;
+/// Waits until `count` more windows are reported.
+async fn wait_later_windows(recorder: &ReportBook, count: usize) {
+    let expected = recorder.taken().len() + count;
+    let are_reported = || async { (recorder.taken().len() >= expected).then_some(()) };
+    eventually("later windows are reported", are_reported).await;
 }
 
-fn assert_no_window_is_left_out(book: &ReportBook) {
-    let windows: Vec<u64> = book.taken().keys().map(|window| window.0).collect();
+fn assert_windows_are_contiguous(recorder: &ReportBook) {
+    let windows: Vec<u64> = recorder.taken().keys().map(|window| window.0).collect();
     let (first, last) = (windows[0], windows[windows.len() - 1]);
     assert_eq!(windows, (first..=last).collect::<Vec<u64>>());
 }
 
-/// Reports of two holders lie apart, and epochs never fall.
-fn assert_no_turns(book: &ReportBook) {
-    let records = book.records();
+/// Asserts that reports of two holders are separated by the order gap and epochs never decrease.
+fn assert_holders_do_not_overlap(recorder: &ReportBook) {
+    let records = recorder.records();
     for pair in records.windows(2) {
         let [first, second] = pair else {
             continue;
@@ -104,35 +104,38 @@
     }
 }
 
-/// The node that sent the last report.
-async fn holder(book: &ReportBook) -> usize {
+/// Waits for a report and returns the index of the node that sent the last one.
+async fn holder(recorder: &ReportBook) -> usize {
     let holder = || async {
-        let records = book.records();
+        let records = recorder.records();
         let names = ["node-1", "node-2", "node-3"];
         let last = records.last()?;
         names.iter().position(|name| *name == last.sender.node)
     };
-    eventually("somebody reports", holder).await
+    eventually("a node reports", holder).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn each_request_of_a_tenant_is_reported_once_whatever_node_took_it() {
-    let (cluster, book) = cluster(&["node-1", "node-2"]).await;
-    use_it(&cluster, 0, "north", 7).await;
-    use_it(&cluster, 1, "north", 6).await;
-    use_it(&cluster, 1, "south", 4).await;
-    wait_reported(&book, "north", 13).await;
-    wait_reported(&book, "south", 4).await;
-    wait_later_windows(&book, 3).await;
-    assert_eq!(book.requests_of("north"), 13);
-    assert_no_window_is_left_out(&book);
-    let senders = book.records().into_iter().map(|record| record.sender.node);
+async fn requests_at_all_nodes_are_reported_once() {
+    let (cluster, recorder) = cluster(&["node-1", "node-2"]).await;
+    send_requests(&cluster, 0, "north", 7).await;
+    send_requests(&cluster, 1, "north", 6).await;
+    send_requests(&cluster, 1, "south", 4).await;
+    wait_reported(&recorder, "north", 13).await;
+    wait_reported(&recorder, "south", 4).await;
+    wait_later_windows(&recorder, 3).await;
+    assert_eq!(recorder.requests_of("north"), 13);
+    assert_windows_are_contiguous(&recorder);
+    let senders = recorder
+        .records()
+        .into_iter()
+        .map(|record| record.sender.node);
     assert_eq!(senders.collect::<BTreeSet<String>>().len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_window_holds_the_requests_that_began_in_it() {
-    let (cluster, book) = cluster(&["node-1"]).await;
+async fn requests_count_in_the_window_of_their_start() {
+    let (cluster, recorder) = cluster(&["node-1"]).await;
     let wall_ms = || {
         let now = std::time::SystemTime::now();
         let since = now
@@ -143,24 +146,24 @@
     let length_ms = (WINDOWS.window_s * 1_000.0) as u64;
     let mut expected: Vec<(u64, u64)> = Vec::new();
     for _ in 0..3 {
-        // The middle of a window, so that clocks may differ a little.
-        let into = wall_ms() % length_ms;
-        let wait = (length_ms + length_ms / 2 - into) % length_ms;
-        tokio::time::sleep(Duration::from_millis(wait)).await;
+        // Use the middle of a window to tolerate small clock differences.
+        let offset_ms = wall_ms() % length_ms;
+        let wait_ms = (length_ms + length_ms / 2 - offset_ms) % length_ms;
+        tokio::time::sleep(Duration::from_millis(wait_ms)).await;
         expected.push((wall_ms() / length_ms, 2));
-        use_it(&cluster, 0, "north", 2).await;
+        send_requests(&cluster, 0, "north", 2).await;
         tokio::time::sleep(Duration::from_millis(length_ms / 2)).await;
     }
-    wait_reported(&book, "north", 6).await;
-    let taken = book.taken();
+    wait_reported(&recorder, "north", 6).await;
+    let taken = recorder.taken();
     let with_requests = taken.values().filter(|report| report.total_requests() > 0);
     let counted = with_requests.map(|report| (report.window.0, report.total_requests()));
     assert_eq!(counted.collect::<Vec<(u64, u64)>>(), expected);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn only_requests_that_began_count_and_items_and_rewards_do_not() {
-    let (cluster, book) = cluster(&["node-1"]).await;
+async fn only_started_live_requests_are_counted() {
+    let (cluster, recorder) = cluster(&["node-1"]).await;
     let callers = cluster.nodes[0].callers;
     let unknown = call(&cluster, "/keyed/x", "r1", "unknown")
         .send(callers)
@@ -176,7 +179,7 @@
     for application in &cluster.engines[..2] {
         application.set_fault(EngineFault::Fails, Some(1));
     }
-    // Two back ends begin it and fail, the third attempt succeeds: one request.
+    // Two attempts start and fail and the third succeeds: this is one request.
     let answer = call(&cluster, "/keyed/x", "r3", "north-key")
         .send(callers)
         .await;
@@ -187,104 +190,104 @@
         .collect();
     accepted(&cluster, 0, "b1", &batch(&scored, MODEL, 1)).await;
     assert_each_once(&cluster.wait_results(0, "b1", 4).await, 4);
-    wait_reported(&book, "north", 1).await;
-    wait_later_windows(&book, 3).await;
-    assert_eq!(book.requests_of("north"), 1);
+    wait_reported(&recorder, "north", 1).await;
+    wait_later_windows(&recorder, 3).await;
+    assert_eq!(recorder.requests_of("north"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_whose_caller_leaves_counts_once_it_began() {
-    let (cluster, book) = cluster(&["node-1"]).await;
+async fn started_requests_of_disconnected_callers_are_counted() {
+    let (cluster, recorder) = cluster(&["node-1"]).await;
     for application in &cluster.engines[..2] {
         application.set_pace(Duration::from_secs(1));
     }
     let call = call(&cluster, "/keyed/x", "r1", "north-key");
     let sending = call.send(cluster.nodes[0].callers);
-    let left = tokio::time::timeout(Duration::from_millis(150), sending).await;
-    assert!(left.is_err(), "it was being run");
-    wait_reported(&book, "north", 1).await;
+    let result = tokio::time::timeout(Duration::from_millis(150), sending).await;
+    assert!(result.is_err(), "the request ended before the timeout");
+    wait_reported(&recorder, "north", 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_holder_that_is_killed_is_replaced_and_no_window_is_lost_or_told_twice() {
-    let (mut cluster, book) = cluster(&["node-1", "node-2"]).await;
-    use_it(&cluster, 0, "north", 3).await;
-    use_it(&cluster, 1, "north", 3).await;
-    wait_reported(&book, "north", 6).await;
-    let first = holder(&book).await;
+async fn killed_holder_loses_and_repeats_no_window() {
+    let (mut cluster, recorder) = cluster(&["node-1", "node-2"]).await;
+    send_requests(&cluster, 0, "north", 3).await;
+    send_requests(&cluster, 1, "north", 3).await;
+    wait_reported(&recorder, "north", 6).await;
+    let first = holder(&recorder).await;
     let other = 1 - first;
-    use_it(&cluster, other, "north", 4).await;
+    send_requests(&cluster, other, "north", 4).await;
     cluster.nodes[first].kill();
-    use_it(&cluster, other, "north", 5).await;
-    wait_reported(&book, "north", 15).await;
-    assert_eq!(holder(&book).await, other);
-    assert_no_window_is_left_out(&book);
-    assert_no_turns(&book);
+    send_requests(&cluster, other, "north", 5).await;
+    wait_reported(&recorder, "north", 15).await;
+    assert_eq!(holder(&recorder).await, other);
+    assert_windows_are_contiguous(&recorder);
+    assert_holders_do_not_overlap(&recorder);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_report_whose_answer_is_lost_is_sent_again_as_it_was_also_by_the_next_holder() {
-    let (mut cluster, book) = cluster(&["node-1", "node-2"]).await;
-    let first = holder(&book).await;
-    use_it(&cluster, 1 - first, "north", 5).await;
-    book.set_fault(ReportFault::TakenUnanswered);
-    let before = book.taken().len();
-    let is_taken = || async { (book.taken().len() > before).then_some(()) };
-    eventually("a report is taken without an answer", is_taken).await;
+async fn unanswered_report_is_resent_unchanged_by_the_successor() {
+    let (mut cluster, recorder) = cluster(&["node-1", "node-2"]).await;
+    let first = holder(&recorder).await;
+    send_requests(&cluster, 1 - first, "north", 5).await;
+    recorder.set_fault(ReportFault::TakenUnanswered);
+    let before = recorder.taken().len();
+    let is_accepted = || async { (recorder.taken().len() > before).then_some(()) };
+    eventually("a report is accepted without an answer", is_accepted).await;
     cluster.nodes[first].kill();
-    use_it(&cluster, 1 - first, "north", 2).await;
-    let is_replaced = || async { (holder(&book).await != first).then_some(()) };
-    eventually("the other one reports", is_replaced).await;
-    book.set_fault(ReportFault::None);
-    wait_reported(&book, "north", 7).await;
-    assert_no_window_is_left_out(&book);
-    assert_no_turns(&book);
+    send_requests(&cluster, 1 - first, "north", 2).await;
+    let is_replaced = || async { (holder(&recorder).await != first).then_some(()) };
+    eventually("the other node reports", is_replaced).await;
+    recorder.set_fault(ReportFault::None);
+    wait_reported(&recorder, "north", 7).await;
+    assert_windows_are_contiguous(&recorder);
+    assert_holders_do_not_overlap(&recorder);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_report_that_was_committed_and_not_taken_is_sent_by_the_next_holder() {
-    let (mut cluster, book) = cluster(&["node-1", "node-2"]).await;
-    let first = holder(&book).await;
-    wait_later_windows(&book, 1).await;
-    book.set_fault(ReportFault::Away);
-    let before = book.records().len();
-    let is_sent = || async { (book.records().len() > before).then_some(()) };
-    eventually("a report is sent and not taken", is_sent).await;
+async fn committed_report_is_sent_by_the_successor() {
+    let (mut cluster, recorder) = cluster(&["node-1", "node-2"]).await;
+    let first = holder(&recorder).await;
+    wait_later_windows(&recorder, 1).await;
+    recorder.set_fault(ReportFault::Away);
+    let before = recorder.records().len();
+    let is_sent = || async { (recorder.records().len() > before).then_some(()) };
+    eventually("a report is sent and not accepted", is_sent).await;
     cluster.nodes[first].kill();
-    book.set_fault(ReportFault::None);
-    wait_later_windows(&book, 4).await;
-    assert_no_window_is_left_out(&book);
-    assert_no_turns(&book);
+    recorder.set_fault(ReportFault::None);
+    wait_later_windows(&recorder, 4).await;
+    assert_windows_are_contiguous(&recorder);
+    assert_holders_do_not_overlap(&recorder);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_commit_that_takes_effect_late_does_not_put_a_later_report_back() {
-    const LATE: Duration = Duration::from_millis(1_200);
-    let (cluster, book) = cluster(&["node-1"]).await;
-    holder(&book).await;
+async fn late_commit_does_not_overwrite_a_newer_report() {
+    const COMMIT_DELAY: Duration = Duration::from_millis(1_200);
+    let (cluster, recorder) = cluster(&["node-1"]).await;
+    holder(&recorder).await;
     cluster
         .table
-        .set_commit_fault_on(REPORTS, CommitFault::DoneLate(LATE), 1);
+        .set_commit_fault_on(REPORTS, CommitFault::DoneLate(COMMIT_DELAY), 1);
     let committed = || {
         let rows = cluster.table.rows(REPORTS);
         let report: serde_json::Value = serde_json::from_slice(&rows[0].value).expect("JSON");
         report["window"].as_u64().expect("a number")
     };
     let (first, mut newest) = (committed(), committed());
-    let began = std::time::Instant::now();
-    while began.elapsed() < LATE * 3 {
+    let started_at = std::time::Instant::now();
+    while started_at.elapsed() < COMMIT_DELAY * 3 {
         let window = committed();
         assert!(window >= newest, "{window} after {newest}");
         newest = window;
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     assert_eq!(cluster.table.faults_left(), Some(0));
-    assert!(newest > first + 3, "reports went on");
+    assert!(newest > first + 3, "reporting stopped");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_runs_longer_than_its_report_waits_counts_in_its_window() {
-    let (cluster, book) = cluster(&["node-1"]).await;
+async fn long_requests_count_once_in_their_window() {
+    let (cluster, recorder) = cluster(&["node-1"]).await;
     for application in &cluster.engines[..2] {
         application.set_pace(Duration::from_millis(1_800));
     }
@@ -292,91 +295,95 @@
         call(&cluster, "/keyed/x", "r1", "north-key").header(&cluster.names().deadline_ms, "4000");
     let answer = call.send(cluster.nodes[0].callers).await;
     assert_eq!(answer.expect("an answer").status, 200);
-    wait_reported(&book, "north", 1).await;
-    wait_later_windows(&book, 4).await;
-    assert_eq!(book.requests_of("north"), 1);
+    wait_reported(&recorder, "north", 1).await;
+    wait_later_windows(&recorder, 4).await;
+    assert_eq!(recorder.requests_of("north"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn windows_that_end_while_the_recipient_is_away_are_reported_when_it_is_back() {
-    let (cluster, book) = cluster(&["node-1"]).await;
-    holder(&book).await;
-    book.set_fault(ReportFault::Away);
-    use_it(&cluster, 0, "north", 3).await;
+async fn recipient_outage_delays_but_loses_no_window() {
+    let (cluster, recorder) = cluster(&["node-1"]).await;
+    holder(&recorder).await;
+    recorder.set_fault(ReportFault::Away);
+    send_requests(&cluster, 0, "north", 3).await;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    use_it(&cluster, 0, "north", 3).await;
+    send_requests(&cluster, 0, "north", 3).await;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    book.set_fault(ReportFault::None);
-    wait_reported(&book, "north", 6).await;
-    assert_no_window_is_left_out(&book);
+    recorder.set_fault(ReportFault::None);
+    wait_reported(&recorder, "north", 6).await;
+    assert_windows_are_contiguous(&recorder);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_report_that_is_refused_for_good_does_not_hold_the_later_ones_up() {
-    let (cluster, book) = cluster(&["node-1"]).await;
-    holder(&book).await;
-    book.set_fault(ReportFault::Refused);
+async fn refused_report_does_not_block_later_ones() {
+    let (cluster, recorder) = cluster(&["node-1"]).await;
+    holder(&recorder).await;
+    recorder.set_fault(ReportFault::Refused);
     tokio::time::sleep(Duration::from_millis(1_200)).await;
-    book.set_fault(ReportFault::None);
-    use_it(&cluster, 0, "north", 3).await;
-    wait_reported(&book, "north", 3).await;
+    recorder.set_fault(ReportFault::None);
+    send_requests(&cluster, 0, "north", 3).await;
+    wait_reported(&recorder, "north", 3).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_sum_whose_commit_gets_no_answer_is_reported_as_it_was_committed() {
+async fn unanswered_commit_is_reported_as_committed() {
     for fault in [
         CommitFault::DoneUnanswered,
         CommitFault::LostOnTheWay,
         CommitFault::DoneLate(Duration::from_millis(700)),
     ] {
-        let (cluster, book) = cluster(&["node-1"]).await;
-        holder(&book).await;
+        let (cluster, recorder) = cluster(&["node-1"]).await;
+        holder(&recorder).await;
         cluster.table.set_commit_fault_on(REPORTS, fault, 2);
-        use_it(&cluster, 0, "north", 4).await;
-        wait_reported(&book, "north", 4).await;
-        wait_later_windows(&book, 3).await;
-        assert_no_window_is_left_out(&book);
-        let kept = cluster.table.rows(REPORTS);
-        assert_eq!(kept.len(), 1);
-        assert_eq!(book.requests_of("north"), 4, "{fault:?}");
+        send_requests(&cluster, 0, "north", 4).await;
+        wait_reported(&recorder, "north", 4).await;
+        wait_later_windows(&recorder, 3).await;
+        assert_windows_are_contiguous(&recorder);
+        let rows = cluster.table.rows(REPORTS);
+        assert_eq!(rows.len(), 1);
+        assert_eq!(recorder.requests_of("north"), 4, "{fault:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_counted_while_the_table_is_away_is_reported_when_it_is_back() {
-    let (cluster, book) = cluster(&["node-1"]).await;
-    holder(&book).await;
+async fn requests_during_a_table_outage_are_reported_later() {
+    let (cluster, recorder) = cluster(&["node-1"]).await;
+    holder(&recorder).await;
     cluster.table.set_down(true);
-    use_it(&cluster, 0, "north", 4).await;
+    send_requests(&cluster, 0, "north", 4).await;
     tokio::time::sleep(Duration::from_millis(700)).await;
-    use_it(&cluster, 0, "north", 4).await;
+    send_requests(&cluster, 0, "north", 4).await;
     cluster.table.set_down(false);
-    wait_reported(&book, "north", 8).await;
+    wait_reported(&recorder, "north", 8).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_stops_hands_over_what_it_has_counted() {
-    let (mut cluster, book) = cluster(&["node-1", "node-2"]).await;
-    let first = holder(&book).await;
+async fn stopping_node_flushes_its_counts() {
+    let (mut cluster, recorder) = cluster(&["node-1", "node-2"]).await;
+    let first = holder(&recorder).await;
     let other = 1 - first;
-    use_it(&cluster, other, "north", 5).await;
+    send_requests(&cluster, other, "north", 5).await;
     cluster.nodes[other].stop();
-    wait_reported(&book, "north", 5).await;
+    wait_reported(&recorder, "north", 5).await;
     let has_ended = || async { cluster.nodes[other].has_ended().then_some(()) };
-    eventually("it has ended", has_ended).await;
+    eventually("the node has ended", has_ended).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_is_reported_while_the_last_report_cannot_be_read() {
-    let (mut cluster, book) = cluster(&["node-1", "node-2"]).await;
-    let first = holder(&book).await;
+async fn unreadable_last_report_stops_reporting() {
+    let (mut cluster, recorder) = cluster(&["node-1", "node-2"]).await;
+    let first = holder(&recorder).await;
     cluster.nodes[first].kill();
     let row = cluster.table.rows(REPORTS).remove(0);
     cluster.table.write(row.address.clone(), "unreadable");
-    let before = book.records().len();
+    let before = recorder.records().len();
     tokio::time::sleep(Duration::from_millis(3_000)).await;
-    assert_eq!(book.records().len(), before, "a window could be told twice");
+    assert_eq!(
+        recorder.records().len(),
+        before,
+        "a window could be reported twice"
+    );
     cluster.table.write(row.address, row.value);
-    wait_later_windows(&book, 3).await;
-    assert_no_window_is_left_out(&book);
+    wait_later_windows(&recorder, 3).await;
+    assert_windows_are_contiguous(&recorder);
 }
--- a/crates/sloetrail-usage/src/counter.rs
+++ b/crates/sloetrail-usage/src/counter.rs
@@ -1,28 +1,26 @@
-//! What one node has counted and not yet handed over.
+//! Request counts of one node that are not in the table yet.
 
 use crate::window::WindowNumber;
 use serde::{Deserialize, Serialize};
 use sloetrail_types::TenantName;
 use std::collections::BTreeMap;
 
-/// Requests by tenant.
+/// Number of requests by tenant.
 pub type TenantCounts = BTreeMap<TenantName, u64>;
 
-/// What a node hands over at once: what it has counted in a window since the last piece.
+/// The requests that a node counted in a window since its previous piece.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsagePiece {
-    /// The window.
     pub window: WindowNumber,
-    /// Tells the pieces of one life of a node apart.
+    /// Unique among the pieces of one node incarnation.
     pub sequence: u64,
-    /// What was counted.
     pub counts: TenantCounts,
 }
 
-/// Counts requests of one life of a node.
+/// Counts the requests of one node incarnation.
 ///
-/// Invariant: each counted request is in one piece, and a piece never changes, so that a
-/// piece that is handed over twice is found again under its number.
+/// Invariant: each counted request is in exactly one piece, and pieces are immutable. Writing a
+/// piece twice under its sequence number is therefore idempotent.
 #[derive(Debug, Default)]
 pub struct UsageCounter {
     open: BTreeMap<WindowNumber, TenantCounts>,
@@ -30,13 +28,13 @@
 }
 
 impl UsageCounter {
-    /// Counts a request that began in a window.
+    /// Counts a request that started in this window.
     pub fn count(&mut self, window: WindowNumber, tenant: &TenantName) {
         let counts = self.open.entry(window).or_default();
         *counts.entry(tenant.clone()).or_default() += 1;
     }
 
-    /// Takes out all that was counted, as one piece a window.
+    /// Removes all counts and returns them as one piece per window.
     pub fn take_pieces(&mut self) -> Vec<UsagePiece> {
         let open = std::mem::take(&mut self.open).into_iter();
         let pieces = open.map(|(window, counts)| {
--- a/crates/sloetrail-usage/src/lib.rs
+++ b/crates/sloetrail-usage/src/lib.rs
@@ -1,12 +1,12 @@
-//! What tenants use: requests that began, counted by windows of wall-clock time.
+//! Usage of tenants: started requests, counted by windows of wall-clock time.
 //!
-//! Nodes count on their own ([`UsageCounter`]) and hand over what they counted piece by
-//! piece; one node adds the pieces of a window up ([`UsageReport`]) and hands the sum to
-//! whoever bills, at the time that [`ReportSchedule`] tells. All nodes tell windows apart
-//! ([`Windows`]) by the table's clock and by one agreed figure for how far wall-clock time
-//! is ahead of it ([`median_offset`]): a node's own wall clock may jump.
+//! Each node counts its own requests ([`UsageCounter`]) and stores the counts as pieces. One
+//! node sums the pieces of a window ([`UsageReport`]) and sends the sum to the billing system
+//! when [`ReportSchedule`] says so. Nodes assign requests to windows ([`Windows`]) by the table's
+//! clock plus one agreed offset of wall-clock time ([`median_offset`]), since the wall clock of
+//! a single node may jump.
 //!
-//! Nothing here does I/O or reads a clock.
+//! This crate does no I/O and reads no clock.
 
 mod clock;
 mod counter;
--- a/crates/sloetrail-usage/src/report.rs
+++ b/crates/sloetrail-usage/src/report.rs
@@ -1,20 +1,19 @@
-//! What is reported of a window.
+//! The usage report of one window.
 
 use crate::counter::{TenantCounts, UsagePiece};
 use crate::window::WindowNumber;
 use serde::{Deserialize, Serialize};
 
-/// The requests of each tenant that began in a window. Tenants without one are left out.
+/// The number of requests per tenant that started in a window. Tenants without requests are
+/// omitted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// The window.
     pub window: WindowNumber,
-    /// The requests.
     pub counts: TenantCounts,
 }
 
 impl UsageReport {
-    /// Adds up the pieces of a window; pieces of others are left out.
+    /// Sums the pieces of this window and ignores those of other windows.
     pub fn from_pieces<'a>(
         window: WindowNumber,
         pieces: impl IntoIterator<Item = &'a UsagePiece>,
@@ -28,7 +27,6 @@
         Self { window, counts }
     }
 
-    /// All requests together.
     pub fn total_requests(&self) -> u64 {
         self.counts.values().sum()
     }
--- a/crates/sloetrail-usage/src/schedule.rs
+++ b/crates/sloetrail-usage/src/schedule.rs
@@ -1,30 +1,29 @@
-//! When a window is reported.
+//! Report times of windows.
 //!
-//! A report is final, so it waits until the nodes have had time to hand over what they
-//! counted. It waits longer after the table was away, since nodes could hand nothing over
-//! meanwhile, but not so long that it comes after its time.
+//! A report is final, so it is delayed until nodes have had time to write their counts to the
+//! table. After an outage of the table the delay is longer, but never beyond the due time.
 
 use crate::window::{WindowNumber, Windows};
 use std::time::Duration;
 
-/// Part of the time until a report is due for which pieces are waited for. Half of it and
-/// more is left for an outage of the table or of whoever takes the reports.
+/// Fraction of the time between the end of a window and its due time for which pieces are
+/// awaited. The rest is reserved for outages of the table or of the recipient.
 const SETTLE_FRACTION: f64 = 0.45;
-/// How long nodes need to hand over what they counted while the table was away.
+/// Time for nodes to write their pending counts after an outage of the table.
 const RECOVERY_TIME: Duration = Duration::from_millis(1_200);
-/// A report leaves this much before it is due, whatever is still awaited.
+/// Reports are sent at least this long before they are due, even if pieces are missing.
 const DUE_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// What to do about reports now.
+/// The next step of a reporter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportAction {
-    /// This window is to be reported now.
+    /// Report this window now.
     Report(WindowNumber),
-    /// Nothing is to be reported for this long.
+    /// No report is due for this long.
     Wait(Duration),
 }
 
-/// When windows are reported.
+/// Decides when windows are reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportSchedule {
     windows: Windows,
@@ -32,30 +31,29 @@
 }
 
 impl ReportSchedule {
-    /// Reports of these windows, due so long after the end of each.
+    /// `due_after` is the time between the end of a window and its due time.
     pub fn new(windows: Windows, due_after: Duration) -> Self {
         Self { windows, due_after }
     }
 
-    /// How wall-clock time is cut into windows.
     pub fn windows(&self) -> Windows {
         self.windows
     }
 
-    /// The first window that is reported at all: requests may have begun before there was
-    /// a holder, but not so long before that their report would be overdue.
+    /// Returns the first window to report when no report exists yet. It covers requests that
+    /// started before the first lease holder, unless their report would be overdue.
     pub fn first(&self, wall_ms: u64) -> WindowNumber {
         let due_after_ms = self.due_after.as_millis() as u64;
         self.windows.at(wall_ms.saturating_sub(due_after_ms))
     }
 
-    /// How long after the end of a window pieces are waited for.
+    /// Returns how long after the end of a window pieces are awaited.
     pub fn settle_time(&self) -> Duration {
         self.due_after.mul_f64(SETTLE_FRACTION)
     }
 
-    /// Whether a window is to be reported now. `answering_for` is how long the table has
-    /// been answering without a break.
+    /// Returns whether to report this window now or how long to wait. `answering_for` is the time
+    /// for which the table has answered without interruption.
     pub fn next_action(
         &self,
         window: WindowNumber,
@@ -69,9 +67,9 @@
             return ReportAction::Wait(Duration::from_millis(settled_ms - wall_ms));
         }
         let latest_ms = after_end(self.due_after.saturating_sub(DUE_MARGIN));
-        let missing = RECOVERY_TIME.saturating_sub(answering_for);
-        let left = Duration::from_millis(latest_ms.saturating_sub(wall_ms));
-        match missing.min(left) {
+        let recovery = RECOVERY_TIME.saturating_sub(answering_for);
+        let remaining = Duration::from_millis(latest_ms.saturating_sub(wall_ms));
+        match recovery.min(remaining) {
             Duration::ZERO => ReportAction::Report(window),
             wait => ReportAction::Wait(wait),
         }
