--- a/crates/sloetrail-serving/src/usage/counted_request.rs
+++ b/crates/sloetrail-serving/src/usage/counted_request.rs
@@ -43,10 +43,10 @@
 
     fn update_open(&mut self) {
         if let Some(open) = self.open.take() {
-            self.usage.forget(open);
+            self.usage.remove(open);
         }
         let started_at = self.sends.iter().map(|(_, at)| *at).min();
-        self.open = started_at.map(|started_at| self.usage.begin(&self.tenant, started_at));
+        self.open = started_at.map(|started_at| self.usage.record_start(&self.tenant, started_at));
     }
 }
 
--- a/crates/sloetrail-serving/src/usage/node_usage.rs
+++ b/crates/sloetrail-serving/src/usage/node_usage.rs
@@ -19,7 +19,7 @@
 const MIN_FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 /// Bounds the write rate of all nodes together.
 const FLUSH_INTERVAL_PER_BACK_END: Duration = Duration::from_millis(8);
-/// Below the time for which reports wait for pieces.
+/// Must be below the time for which reports wait for pieces.
 const MAX_FLUSH_INTERVAL: Duration = Duration::from_millis(2_000);
 /// Bounds the requests that wait for the agreed clock offset.
 const MAX_PENDING_REQUESTS: usize = 50_000;
@@ -64,7 +64,7 @@
     }
 
     /// Moves requests that started at or before `cutoff` from open to pending.
-    fn move_open_since(&mut self, cutoff: BootInstant) {
+    fn move_long_requests(&mut self, cutoff: BootInstant) {
         let open = std::mem::take(&mut self.open);
         let is_long = |request: &(OpenRequestId, (BootInstant, TenantName))| request.1.0 <= cutoff;
         let (long, short): (Vec<_>, Vec<_>) = open.into_iter().partition(is_long);
@@ -106,7 +106,11 @@
     }
 
     /// Records a request of a tenant that started at this time.
-    pub(super) fn begin(&self, tenant: &TenantName, started_at: BootInstant) -> OpenRequestId {
+    pub(super) fn record_start(
+        &self,
+        tenant: &TenantName,
+        started_at: BootInstant,
+    ) -> OpenRequestId {
         let mut state = self.state();
         let number = state.next_open_id;
         state.next_open_id += 1;
@@ -117,7 +121,7 @@
     }
 
     /// Removes a request that did not start.
-    pub(super) fn forget(&self, request: OpenRequestId) {
+    pub(super) fn remove(&self, request: OpenRequestId) {
         self.state().open.remove(&request);
     }
 
@@ -182,7 +186,7 @@
         let windows = self.schedule.windows();
         let mut state = self.state();
         if let Some(cutoff) = now.checked_sub(self.schedule.settle_time() / LONG_REQUEST_DIVISOR) {
-            state.move_open_since(cutoff);
+            state.move_long_requests(cutoff);
         }
         for (started_at, tenant) in std::mem::take(&mut state.pending) {
             let age = now.saturating_duration_since(started_at).as_millis() as u64;
--- a/crates/sloetrail-serving/src/usage/reporter.rs
+++ b/crates/sloetrail-serving/src/usage/reporter.rs
@@ -266,12 +266,12 @@
 
     /// Periodically checks the agreed clock offset against the measurements of the nodes.
     async fn agree_on_clock(&mut self) {
-        let period = match self.clock_checks {
+        let interval = match self.clock_checks {
             0 | 1 => INITIAL_CLOCK_CHECK_INTERVAL,
             _ => CLOCK_CHECK_INTERVAL,
         };
         let checked_at = self.clock_checked_at;
-        if checked_at.is_some_and(|at| at.elapsed() < period) {
+        if checked_at.is_some_and(|at| at.elapsed() < interval) {
             return;
         }
         if self.try_agree_on_clock().await.is_some() {
--- a/crates/sloetrail-serving/tests/configuration.rs
+++ b/crates/sloetrail-serving/tests/configuration.rs
@@ -24,7 +24,7 @@
     answer.status.as_u16()
 }
 
-async fn wait_status(cluster: &Cluster, node: usize, path: &str, expected: u16) {
+async fn wait_for_status(cluster: &Cluster, node: usize, path: &str, expected: u16) {
     let has_status = || async { (status(cluster, node, path).await == expected).then_some(()) };
     eventually("the route returns the expected status", has_status).await;
 }
@@ -35,8 +35,8 @@
     let watch = Stopwatch::start();
     cluster.configure(json!([route("/new/")]));
     for node in [0, 1] {
-        wait_status(&cluster, node, "/new/x", 200).await;
-        wait_status(&cluster, node, "/live/x", 404).await;
+        wait_for_status(&cluster, node, "/new/x", 200).await;
+        wait_for_status(&cluster, node, "/live/x", 404).await;
     }
     assert!(watch.elapsed() < Duration::from_millis(1_000));
 }
@@ -45,7 +45,7 @@
 async fn older_or_invalid_configurations_are_ignored() {
     let cluster = usual_cluster(EVENT_INTERVAL).await;
     cluster.write_configuration(50, json!([route("/new/")]));
-    wait_status(&cluster, 0, "/new/x", 200).await;
+    wait_for_status(&cluster, 0, "/new/x", 200).await;
     // Nodes read each row before the next one is written.
     let poll_time = Duration::from_millis(150);
     cluster.write_configuration(49, usual_routes());
@@ -73,7 +73,7 @@
     cluster.configure(json!([route("/new/")]));
     cluster.table.forget_history();
     cluster.nodes[0].link.set_cut(false);
-    wait_status(&cluster, 0, "/new/x", 200).await;
+    wait_for_status(&cluster, 0, "/new/x", 200).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -83,7 +83,7 @@
         cluster.configure(json!([route(&format!("/n{number}/"))]));
     }
     for node in [0, 1] {
-        wait_status(&cluster, node, "/n59/x", 200).await;
+        wait_for_status(&cluster, node, "/n59/x", 200).await;
         assert_eq!(status(&cluster, node, "/n58/x").await, 404);
     }
 }
@@ -158,7 +158,7 @@
     slow["kind"] = json!("non_idempotent");
     slow["timeout_ms"] = json!(8_000);
     cluster.configure(json!([slow]));
-    wait_status(&cluster, 0, "/slow/x", 200).await;
+    wait_for_status(&cluster, 0, "/slow/x", 200).await;
     // Longer than the node accepts connections after the stop signal.
     for engine in &cluster.engines {
         engine.set_pace(Duration::from_millis(2_900));
@@ -186,7 +186,7 @@
         assert_eq!(answer.status, 200);
     }
     let has_ended = || async { cluster.nodes[0].has_ended().then_some(()) };
-    eventually("the node process ends", has_ended).await;
+    eventually("the node has ended", has_ended).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/sloetrail-serving/tests/live.rs
+++ b/crates/sloetrail-serving/tests/live.rs
@@ -95,8 +95,9 @@
     }
 }
 
+/// Guards against a second run, and against a "not run" status after a run.
 #[tokio::test(flavor = "multi_thread")]
-async fn non_idempotent_requests_run_once_and_not_run_is_accurate() {
+async fn non_idempotent_requests_run_at_most_once() {
     let faults = [
         EngineFault::AnswerLost,
         EngineFault::Crossed,
@@ -229,7 +230,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn address_reused_by_another_service_gets_no_requests() {
+async fn address_reused_by_another_service_runs_no_requests() {
     let (cluster, applications) = cluster_with(2).await;
     let crashed = preferred(&cluster, &applications).await;
     crashed.crash();
--- a/crates/sloetrail-serving/tests/regions.rs
+++ b/crates/sloetrail-serving/tests/regions.rs
@@ -86,7 +86,7 @@
     Some(holder.split('/').next()?.to_owned())
 }
 
-async fn wait_holder(cluster: &Cluster, resource: &str) -> String {
+async fn wait_for_holder(cluster: &Cluster, resource: &str) -> String {
     eventually("a node holds the lease", || async {
         holder(cluster, resource)
     })
@@ -144,7 +144,7 @@
     const ITEMS: usize = 30;
     let mut cluster = cluster(bound_routes(&["rollout"], "south")).await;
     add_nodes(&mut cluster, &NODES).await;
-    let first = wait_holder(&cluster, "models@south").await;
+    let first = wait_for_holder(&cluster, "models@south").await;
     assert_ne!(first, "node-1");
     submit_items(&cluster, 0, "b1", ITEMS, 60).await;
     cluster.wait_results(0, "b1", 1).await;
@@ -173,7 +173,7 @@
     assert_eq!(later["results"].as_array().expect("a list").len(), listed);
     add_nodes(&mut cluster, &[("node-4", SOUTH_ZONE)]).await;
     assert_each_once(&cluster.wait_results(0, "b1", ITEMS).await, ITEMS);
-    assert_eq!(wait_holder(&cluster, "models@south").await, "node-4");
+    assert_eq!(wait_for_holder(&cluster, "models@south").await, "node-4");
     assert_eq!(runs_in(&cluster, NORTH_ZONE), 0);
     let submissions = cluster.nodes[0].link.uses_of("sloetrail_submissions");
     assert_eq!(submissions.reads, 0, "node-1 only accepts the submission");
@@ -188,14 +188,14 @@
         &[("node-1", NORTH_ZONE), ("node-2", SOUTH_ZONE)],
     )
     .await;
-    assert_eq!(wait_holder(&cluster, "models@south").await, "node-2");
+    assert_eq!(wait_for_holder(&cluster, "models@south").await, "node-2");
     submit_items(&cluster, 0, "b1", ITEMS, 60).await;
     cluster.wait_results(0, "b1", 1).await;
     cluster.nodes[1].kill();
     cluster.configure(usual_routes());
     add_nodes(&mut cluster, &[("node-3", SOUTH_ZONE)]).await;
     assert_each_once(&cluster.wait_results(0, "b1", ITEMS).await, ITEMS);
-    assert_eq!(wait_holder(&cluster, "models@south").await, "node-3");
+    assert_eq!(wait_for_holder(&cluster, "models@south").await, "node-3");
     assert_eq!(runs_in(&cluster, NORTH_ZONE), 0);
 }
 
@@ -212,8 +212,8 @@
         &[("node-1", NORTH_ZONE), ("node-2", SOUTH_ZONE)],
     )
     .await;
-    assert_eq!(wait_holder(&cluster, "models@north").await, "node-1");
-    assert_eq!(wait_holder(&cluster, "models@south").await, "node-2");
+    assert_eq!(wait_for_holder(&cluster, "models@north").await, "node-1");
+    assert_eq!(wait_for_holder(&cluster, "models@south").await, "node-2");
     let sides = [("b-north", NORTH_KEY, 1), ("b-south", SOUTH_KEY, 0)];
     for (id, key, node) in sides {
         cluster.api_key = Some(key.to_owned());
@@ -275,7 +275,7 @@
         &[("node-1", NORTH_ZONE), ("node-2", SOUTH_ZONE)],
     )
     .await;
-    wait_holder(&cluster, "models@south").await;
+    wait_for_holder(&cluster, "models@south").await;
     let work = rewarded_batch();
     accepted(&cluster, 1, "b1", &work).await;
     assert_each_once(&cluster.wait_results(1, "b1", 6).await, 6);
@@ -289,7 +289,7 @@
 async fn reward_calls_of_a_bound_batch_stay_in_its_regions() {
     let mut cluster = cluster(bound_routes(&["rollout"], "south")).await;
     add_nodes(&mut cluster, &[("node-1", SOUTH_ZONE)]).await;
-    wait_holder(&cluster, "models@south").await;
+    wait_for_holder(&cluster, "models@south").await;
     // The nearest back end refuses, so that unbound calls would go to another region.
     let nearest = back_end(&cluster, "application", SOUTH_ZONE);
     nearest.set_fault(EngineFault::Refuses, Some(4));
@@ -303,9 +303,9 @@
 async fn only_the_unbound_owner_orders_weights() {
     let mut cluster = cluster(bound_routes(&["rollout"], "south")).await;
     add_nodes(&mut cluster, &[("node-1", NORTH_ZONE)]).await;
-    assert_eq!(wait_holder(&cluster, "models").await, "node-1");
+    assert_eq!(wait_for_holder(&cluster, "models").await, "node-1");
     add_nodes(&mut cluster, &[("node-2", SOUTH_ZONE)]).await;
-    assert_eq!(wait_holder(&cluster, "models@south").await, "node-2");
+    assert_eq!(wait_for_holder(&cluster, "models@south").await, "node-2");
     cluster.publish(2);
     let work = batch(&items(20, 40), MODEL, 2);
     accepted(&cluster, 0, "b1", &work).await;
@@ -376,8 +376,8 @@
     assert_eq!((writes(2), writes(3)), (0, 0));
 }
 
-/// A resubmitted batch follows the configuration that accepted it. Guards against a "not run" answer
-/// for a batch that runs.
+/// A resubmitted batch follows the configuration that accepted it. Guards against a "not run"
+/// answer for a batch that runs.
 #[tokio::test(flavor = "multi_thread")]
 async fn accepted_batch_is_never_refused_after_a_rebinding() {
     const ITEMS: usize = 30;
@@ -388,7 +388,7 @@
     cluster.configure(usual_routes());
     cluster.api_key = Some(NORTH_KEY.to_owned());
     add_nodes(&mut cluster, &[("node-1", NORTH_ZONE)]).await;
-    wait_holder(&cluster, "models@north").await;
+    wait_for_holder(&cluster, "models@north").await;
     // The lease holder reads batch heads continuously; this node does not.
     add_nodes(&mut cluster, &[("node-2", NORTH_ZONE)]).await;
     let work = batch(&items(ITEMS, 60), MODEL, 1);
@@ -435,7 +435,7 @@
     add_nodes(&mut cluster, &[("node-1", NORTH_ZONE)]).await;
     cluster.processor_share = Some(SMALL_SHARE);
     add_nodes(&mut cluster, &[("node-2", SOUTH_ZONE)]).await;
-    assert_eq!(wait_holder(&cluster, "models@south").await, "node-2");
+    assert_eq!(wait_for_holder(&cluster, "models@south").await, "node-2");
     submit_bound(&cluster, 0, "b1", 6).await;
     assert_each_once(&cluster.wait_results(0, "b1", 6).await, 6);
     assert_eq!(runs_in(&cluster, NORTH_ZONE), 0);
@@ -472,7 +472,7 @@
     const OBSERVATION_TIME: Duration = Duration::from_millis(1_000);
     let mut cluster = cluster(bound_routes(&["rollout", "live", "events"], "south")).await;
     add_nodes(&mut cluster, &[("node-1", SOUTH_ZONE)]).await;
-    wait_holder(&cluster, "models@south").await;
+    wait_for_holder(&cluster, "models@south").await;
     cluster.evacuate(SOUTH_ZONE);
     tokio::time::sleep(UPDATE_TIME).await;
     for path in ["/live/x", "/events/x"] {
@@ -508,13 +508,13 @@
         &[("node-1", NORTH_ZONE), ("node-2", SOUTH_ZONE)],
     )
     .await;
-    wait_holder(&cluster, "models@north").await;
+    wait_for_holder(&cluster, "models@north").await;
     let work = batch(&items(ITEMS, 60), MODEL, 1);
     let answer = cluster.submit(0, "b1", &work).await.expect("an answer");
     assert_eq!(answer.status, 202, "{}", answer.text());
     cluster.tenants = Some(tenant("south"));
     cluster.configure(usual_routes());
-    assert_eq!(wait_holder(&cluster, "models@south").await, "node-2");
+    assert_eq!(wait_for_holder(&cluster, "models@south").await, "node-2");
     for node in [0, 1] {
         let repeated = cluster.submit(node, "b1", &work).await.expect("an answer");
         assert_eq!(repeated.status, 202, "{}", repeated.text());
--- a/crates/sloetrail-serving/tests/usage.rs
+++ b/crates/sloetrail-serving/tests/usage.rs
@@ -71,14 +71,14 @@
     }
 }
 
-async fn wait_reported(recorder: &ReportBook, tenant: &str, count: u64) {
+async fn wait_for_requests(recorder: &ReportBook, tenant: &str, count: u64) {
     let is_reported = || async { (recorder.requests_of(tenant) >= count).then_some(()) };
     eventually("the requests are reported", is_reported).await;
     assert_eq!(recorder.requests_of(tenant), count);
 }
 
 /// Waits until `count` more windows are reported.
-async fn wait_later_windows(recorder: &ReportBook, count: usize) {
+async fn wait_for_windows(recorder: &ReportBook, count: usize) {
     let expected = recorder.taken().len() + count;
     let are_reported = || async { (recorder.taken().len() >= expected).then_some(()) };
     eventually("later windows are reported", are_reported).await;
@@ -121,9 +121,9 @@
     send_requests(&cluster, 0, "north", 7).await;
     send_requests(&cluster, 1, "north", 6).await;
     send_requests(&cluster, 1, "south", 4).await;
-    wait_reported(&recorder, "north", 13).await;
-    wait_reported(&recorder, "south", 4).await;
-    wait_later_windows(&recorder, 3).await;
+    wait_for_requests(&recorder, "north", 13).await;
+    wait_for_requests(&recorder, "south", 4).await;
+    wait_for_windows(&recorder, 3).await;
     assert_eq!(recorder.requests_of("north"), 13);
     assert_windows_are_contiguous(&recorder);
     let senders = recorder
@@ -154,7 +154,7 @@
         send_requests(&cluster, 0, "north", 2).await;
         tokio::time::sleep(Duration::from_millis(length_ms / 2)).await;
     }
-    wait_reported(&recorder, "north", 6).await;
+    wait_for_requests(&recorder, "north", 6).await;
     let taken = recorder.taken();
     let with_requests = taken.values().filter(|report| report.total_requests() > 0);
     let counted = with_requests.map(|report| (report.window.0, report.total_requests()));
@@ -190,8 +190,8 @@
         .collect();
     accepted(&cluster, 0, "b1", &batch(&scored, MODEL, 1)).await;
     assert_each_once(&cluster.wait_results(0, "b1", 4).await, 4);
-    wait_reported(&recorder, "north", 1).await;
-    wait_later_windows(&recorder, 3).await;
+    wait_for_requests(&recorder, "north", 1).await;
+    wait_for_windows(&recorder, 3).await;
     assert_eq!(recorder.requests_of("north"), 1);
 }
 
@@ -205,7 +205,7 @@
     let sending = call.send(cluster.nodes[0].callers);
     let result = tokio::time::timeout(Duration::from_millis(150), sending).await;
     assert!(result.is_err(), "the request ended before the timeout");
-    wait_reported(&recorder, "north", 1).await;
+    wait_for_requests(&recorder, "north", 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -213,13 +213,13 @@
     let (mut cluster, recorder) = cluster(&["node-1", "node-2"]).await;
     send_requests(&cluster, 0, "north", 3).await;
     send_requests(&cluster, 1, "north", 3).await;
-    wait_reported(&recorder, "north", 6).await;
+    wait_for_requests(&recorder, "north", 6).await;
     let first = holder(&recorder).await;
     let other = 1 - first;
     send_requests(&cluster, other, "north", 4).await;
     cluster.nodes[first].kill();
     send_requests(&cluster, other, "north", 5).await;
-    wait_reported(&recorder, "north", 15).await;
+    wait_for_requests(&recorder, "north", 15).await;
     assert_eq!(holder(&recorder).await, other);
     assert_windows_are_contiguous(&recorder);
     assert_holders_do_not_overlap(&recorder);
@@ -239,7 +239,7 @@
     let is_replaced = || async { (holder(&recorder).await != first).then_some(()) };
     eventually("the other node reports", is_replaced).await;
     recorder.set_fault(ReportFault::None);
-    wait_reported(&recorder, "north", 7).await;
+    wait_for_requests(&recorder, "north", 7).await;
     assert_windows_are_contiguous(&recorder);
     assert_holders_do_not_overlap(&recorder);
 }
@@ -248,14 +248,14 @@
 async fn committed_report_is_sent_by_the_successor() {
     let (mut cluster, recorder) = cluster(&["node-1", "node-2"]).await;
     let first = holder(&recorder).await;
-    wait_later_windows(&recorder, 1).await;
+    wait_for_windows(&recorder, 1).await;
     recorder.set_fault(ReportFault::Away);
     let before = recorder.records().len();
     let is_sent = || async { (recorder.records().len() > before).then_some(()) };
     eventually("a report is sent and not accepted", is_sent).await;
     cluster.nodes[first].kill();
     recorder.set_fault(ReportFault::None);
-    wait_later_windows(&recorder, 4).await;
+    wait_for_windows(&recorder, 4).await;
     assert_windows_are_contiguous(&recorder);
     assert_holders_do_not_overlap(&recorder);
 }
@@ -295,8 +295,8 @@
         call(&cluster, "/keyed/x", "r1", "north-key").header(&cluster.names().deadline_ms, "4000");
     let answer = call.send(cluster.nodes[0].callers).await;
     assert_eq!(answer.expect("an answer").status, 200);
-    wait_reported(&recorder, "north", 1).await;
-    wait_later_windows(&recorder, 4).await;
+    wait_for_requests(&recorder, "north", 1).await;
+    wait_for_windows(&recorder, 4).await;
     assert_eq!(recorder.requests_of("north"), 1);
 }
 
@@ -310,7 +310,7 @@
     send_requests(&cluster, 0, "north", 3).await;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     recorder.set_fault(ReportFault::None);
-    wait_reported(&recorder, "north", 6).await;
+    wait_for_requests(&recorder, "north", 6).await;
     assert_windows_are_contiguous(&recorder);
 }
 
@@ -322,7 +322,7 @@
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     recorder.set_fault(ReportFault::None);
     send_requests(&cluster, 0, "north", 3).await;
-    wait_reported(&recorder, "north", 3).await;
+    wait_for_requests(&recorder, "north", 3).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -336,8 +336,8 @@
         holder(&recorder).await;
         cluster.table.set_commit_fault_on(REPORTS, fault, 2);
         send_requests(&cluster, 0, "north", 4).await;
-        wait_reported(&recorder, "north", 4).await;
-        wait_later_windows(&recorder, 3).await;
+        wait_for_requests(&recorder, "north", 4).await;
+        wait_for_windows(&recorder, 3).await;
         assert_windows_are_contiguous(&recorder);
         let rows = cluster.table.rows(REPORTS);
         assert_eq!(rows.len(), 1);
@@ -354,7 +354,7 @@
     tokio::time::sleep(Duration::from_millis(700)).await;
     send_requests(&cluster, 0, "north", 4).await;
     cluster.table.set_down(false);
-    wait_reported(&recorder, "north", 8).await;
+    wait_for_requests(&recorder, "north", 8).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -364,7 +364,7 @@
     let other = 1 - first;
     send_requests(&cluster, other, "north", 5).await;
     cluster.nodes[other].stop();
-    wait_reported(&recorder, "north", 5).await;
+    wait_for_requests(&recorder, "north", 5).await;
     let has_ended = || async { cluster.nodes[other].has_ended().then_some(()) };
     eventually("the node has ended", has_ended).await;
 }
@@ -384,6 +384,6 @@
         "a window could be reported twice"
     );
     cluster.table.write(row.address, row.value);
-    wait_later_windows(&recorder, 3).await;
+    wait_for_windows(&recorder, 3).await;
     assert_windows_are_contiguous(&recorder);
 }
