--- a/crates/sloetrail-serving/tests/evacuation.rs
+++ b/crates/sloetrail-serving/tests/evacuation.rs
@@ -12,7 +12,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use support::{
-    assert_each_once, lease_holder, live, most_in_a_second, native_cluster, submit_items, tolerance,
+    assert_each_once, lease_holder, live, max_arrivals_per_second, native_cluster, submit_items,
+    tolerance,
 };
 
 const OWN: &str = "zone-a";
@@ -180,7 +181,7 @@
             "work returns: {}",
             while_cold.len()
         );
-        let most = most_in_a_second(while_cold);
+        let most = max_arrivals_per_second(while_cold);
         assert!(most <= MAX_COLD_RATE, "{most} of {MAX_COLD_RATE} a second");
     }
     assert!(
