--- a/crates/sloetrail-lab/src/commands/engine.rs
+++ b/crates/sloetrail-lab/src/commands/engine.rs
@@ -1,7 +1,7 @@
 //! One engine or back end as a process.
 
 use crate::history_log::HistoryLog;
-use crate::standins::engine::{EngineKind, EngineSettings, EngineStandIn};
+use crate::standins::engine::{EngineKind, EngineSettings, FakeEngine};
 use clap::{Arg, ArgMatches, Command, value_parser};
 use sloetrail_types::{EngineId, ServiceName};
 use std::net::SocketAddr;
@@ -43,7 +43,7 @@
     }
 }
 
-async fn start(matches: &ArgMatches) -> std::io::Result<EngineStandIn> {
+async fn start(matches: &ArgMatches) -> std::io::Result<FakeEngine> {
     let text = |name: &str| matches.get_one::<String>(name).expect("it is required");
     let kind = match text("kind").as_str() {
         "model" => EngineKind::Model,
@@ -59,5 +59,5 @@
     let history: &PathBuf = matches.get_one("history").expect("it is required");
     let history = HistoryLog::in_file(history)?;
     let address: SocketAddr = *matches.get_one("address").expect("it has a default");
-    EngineStandIn::start(address, settings, history, super::seed_of(matches)).await
+    FakeEngine::start(address, settings, history, super::seed_of(matches)).await
 }
--- a/crates/sloetrail-lab/src/fleet/local.rs
+++ b/crates/sloetrail-lab/src/fleet/local.rs
@@ -3,7 +3,7 @@
 use super::platform::{PlatformSettings, PlatformStandIns, any_port};
 use super::profile::{Profile, ServiceShape};
 use crate::history_log::HistoryLog;
-use crate::standins::engine::{EngineSettings, EngineStandIn};
+use crate::standins::engine::{EngineSettings, FakeEngine};
 use crate::workload::{BookEntry, JsonAnswer, NodeBook, send_json};
 use http::Method;
 use sloetrail_clients::{HttpClient, Machine, MachineRole, MachineState};
@@ -47,7 +47,7 @@
     /// Changes the settings of back ends before they start.
     pub adjust: fn(&mut EngineSettings),
     /// The engines and back ends.
-    pub engines: Vec<EngineStandIn>,
+    pub engines: Vec<FakeEngine>,
     nodes: Vec<Node>,
     next_life: usize,
     seed: u64,
@@ -112,7 +112,7 @@
         );
         (self.adjust)(&mut settings);
         let seed = self.seed + life as u64;
-        let engine = EngineStandIn::start(any_port(), settings, self.history.clone(), seed)
+        let engine = FakeEngine::start(any_port(), settings, self.history.clone(), seed)
             .await
             .context(StandInSnafu)?;
         self.platform.machines.add(Machine {
--- a/crates/sloetrail-lab/src/standins/engine/mod.rs
+++ b/crates/sloetrail-lab/src/standins/engine/mod.rs
@@ -15,4 +15,4 @@
 pub use batch::{BatchSettings, KvState};
 pub use model::token;
 pub use prefix_cache::{CacheChange, CacheEvent, PrefixCache};
-pub use server::{EngineKind, EngineSettings, EngineStandIn, MARKER_HEADER, SEND_HEADER};
+pub use server::{EngineKind, EngineSettings, FakeEngine, MARKER_HEADER, SEND_HEADER};
--- a/crates/sloetrail-lab/src/standins/engine/server.rs
+++ b/crates/sloetrail-lab/src/standins/engine/server.rs
@@ -118,7 +118,7 @@
 }
 
 /// A running back end. Dropping it ends it as a crash would.
-pub struct EngineStandIn {
+pub struct FakeEngine {
     served: Served,
     shared: Arc<Shared>,
     stepping: JoinHandle<()>,
@@ -126,13 +126,13 @@
     pub faults: FaultControl,
 }
 
-impl Drop for EngineStandIn {
+impl Drop for FakeEngine {
     fn drop(&mut self) {
         self.stepping.abort();
     }
 }
 
-impl EngineStandIn {
+impl FakeEngine {
     /// Starts a back end.
     pub async fn start(
         address: SocketAddr,
--- a/crates/sloetrail-lab/tests/engine_stand_in.rs
+++ b/crates/sloetrail-lab/tests/engine_stand_in.rs
@@ -9,7 +9,7 @@
 use sloetrail_history::EventBody;
 use sloetrail_lab::history_log::HistoryLog;
 use sloetrail_lab::standins::engine::{
-    CacheChange, EngineKind, EngineSettings, EngineStandIn, KvState, PrefixCache,
+    CacheChange, EngineKind, EngineSettings, FakeEngine, KvState, PrefixCache,
 };
 use sloetrail_types::{EngineId, Epoch, RequestId, ServiceName, WeightVersion};
 use std::net::SocketAddr;
@@ -18,11 +18,11 @@
 
 const WAIT: Duration = Duration::from_secs(10);
 
-async fn engine() -> EngineStandIn {
+async fn engine() -> FakeEngine {
     engine_that_records(HistoryLog::in_memory()).await
 }
 
-async fn engine_that_records(history: HistoryLog) -> EngineStandIn {
+async fn engine_that_records(history: HistoryLog) -> FakeEngine {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let settings = EngineSettings::assumed(
         EngineId::from("engine"),
@@ -30,7 +30,7 @@
         EngineKind::Model,
         any,
     );
-    EngineStandIn::start(any, settings, history, 1)
+    FakeEngine::start(any, settings, history, 1)
         .await
         .expect("the engine starts")
 }
@@ -45,13 +45,13 @@
     }
 }
 
-async fn start(engine: &EngineStandIn, request: &GenerateRequest) -> ChunkStream {
+async fn start(engine: &FakeEngine, request: &GenerateRequest) -> ChunkStream {
     let client = EngineClient::new(HttpClient::new());
     let stream = client.generate(engine.address(), request).await;
     stream.expect("the engine takes it")
 }
 
-async fn order(engine: &EngineStandIn, epoch: u64, command: OrderCommand) -> OrderOutcome {
+async fn order(engine: &FakeEngine, epoch: u64, command: OrderCommand) -> OrderOutcome {
     let order = Order {
         order: format!("order-{epoch}"),
         epoch: Epoch(epoch),
@@ -62,12 +62,7 @@
     outcome.expect("the engine answers")
 }
 
-async fn call(
-    engine: &EngineStandIn,
-    method: &str,
-    path: &str,
-    body: String,
-) -> (StatusCode, String) {
+async fn call(engine: &FakeEngine, method: &str, path: &str, body: String) -> (StatusCode, String) {
     let request = http::Request::builder()
         .method(method)
         .uri(format!("http://{}{path}", engine.address()))
--- a/crates/sloetrail-serving-testkit/src/client.rs
+++ b/crates/sloetrail-serving-testkit/src/client.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-const CALL_TIME: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// An answer, read to its end.
 #[derive(Clone, Debug)]
@@ -85,7 +85,7 @@
     /// Makes the call on a new connection; nothing if no whole answer comes. The connection
     /// is closed at the end, and when the call is dropped.
     pub async fn send(&self, address: SocketAddr) -> Option<Answer> {
-        tokio::time::timeout(CALL_TIME, self.try_send(address))
+        tokio::time::timeout(CALL_TIMEOUT, self.try_send(address))
             .await
             .ok()?
     }
@@ -93,8 +93,8 @@
     async fn try_send(&self, address: SocketAddr) -> Option<Answer> {
         let stream = TcpStream::connect(address).await.ok()?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-        let mut driving = JoinSet::new();
-        driving.spawn(connection);
+        let mut connection_task = JoinSet::new();
+        connection_task.spawn(connection);
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.path.parse().ok()?;
--- a/crates/sloetrail-serving-testkit/src/cluster.rs
+++ b/crates/sloetrail-serving-testkit/src/cluster.rs
@@ -7,7 +7,7 @@
 pub use node_process::NodeProcess;
 
 use crate::client::{Answer, Call, submission};
-use crate::engine::EngineStandIn;
+use crate::engine::FakeEngine;
 use crate::table::{MemoryTable, TableLink};
 use crate::wire::EngineWire;
 use http::Method;
@@ -41,11 +41,11 @@
 /// Longer than a lease, as the settings of the product are by default.
 const ORDER_GAP_MS: u64 = 800;
 /// The pause between two tries of [`eventually`].
-const STEP: Duration = Duration::from_millis(15);
+const POLL_INTERVAL: Duration = Duration::from_millis(15);
 /// How long [`eventually`] tries: several takeovers on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(20);
+const EVENTUALLY_TIMEOUT: Duration = Duration::from_secs(20);
 
-static NEXT_LIFE: AtomicU64 = AtomicU64::new(1);
+static NEXT_INCARNATION: AtomicU64 = AtomicU64::new(1);
 
 /// Nodes, table and back ends.
 pub struct Cluster {
@@ -54,7 +54,7 @@
     /// The nodes.
     pub nodes: Vec<NodeProcess>,
     /// The back ends.
-    pub engines: Vec<Arc<EngineStandIn>>,
+    pub engines: Vec<Arc<FakeEngine>>,
     /// The setting of that name for nodes that start from now on.
     pub body_budget_bytes: Option<usize>,
     /// The same.
@@ -186,19 +186,19 @@
     }
 
     /// Starts a back end of live requests.
-    pub async fn add_application(&mut self, zone: &str) -> Arc<EngineStandIn> {
+    pub async fn add_application(&mut self, zone: &str) -> Arc<FakeEngine> {
         self.add(APPLICATION, zone, &[], Duration::from_millis(5))
             .await
     }
 
     /// Starts an engine in the usual zone.
-    pub async fn add_engine(&mut self, pace: Duration) -> Arc<EngineStandIn> {
-        self.add_engine_in("zone-a", pace).await
+    pub async fn add_engine(&mut self, event_interval: Duration) -> Arc<FakeEngine> {
+        self.add_engine_in("zone-a", event_interval).await
     }
 
     /// Starts an engine in a zone.
-    pub async fn add_engine_in(&mut self, zone: &str, pace: Duration) -> Arc<EngineStandIn> {
-        self.add(MODELS, zone, &[MODEL], pace).await
+    pub async fn add_engine_in(&mut self, zone: &str, event_interval: Duration) -> Arc<FakeEngine> {
+        self.add(MODELS, zone, &[MODEL], event_interval).await
     }
 
     async fn add(
@@ -206,24 +206,24 @@
         service: &str,
         zone: &str,
         models: &[&str],
-        pace: Duration,
-    ) -> Arc<EngineStandIn> {
+        event_interval: Duration,
+    ) -> Arc<FakeEngine> {
         let wire = Arc::clone(&self.wire);
-        let engine = EngineStandIn::start(wire, service, zone, models, pace).await;
+        let engine = FakeEngine::start(wire, service, zone, models, event_interval).await;
         self.engines.push(Arc::clone(&engine));
         self.list(&engine);
         engine
     }
 
     /// Writes a back end's row as it is now.
-    pub fn list(&self, engine: &EngineStandIn) {
+    pub fn list(&self, engine: &FakeEngine) {
         let (table, value) = self.wire.row(&engine.listing());
         self.table
             .write(RowAddress::new(table, "", &engine.id), value.to_string());
     }
 
     /// Deletes a back end's row.
-    pub fn unlist(&self, engine: &EngineStandIn) {
+    pub fn unlist(&self, engine: &FakeEngine) {
         let (table, _) = self.wire.row(&engine.listing());
         self.table.delete(RowAddress::new(table, "", &engine.id));
     }
@@ -236,8 +236,8 @@
     /// Starts a node in a zone.
     pub async fn add_node_in(&mut self, zone: &str, name: &str) -> usize {
         let raw = self.raw_settings(zone, name);
-        let life = NEXT_LIFE.fetch_add(1, Ordering::Relaxed);
-        let settings = ServingSettings::check(raw, life).expect("sound settings");
+        let incarnation = NEXT_INCARNATION.fetch_add(1, Ordering::Relaxed);
+        let settings = ServingSettings::check(raw, incarnation).expect("sound settings");
         let link = TableLink::new(Arc::clone(&self.table));
         let table = (self.wrap)(Arc::clone(&link));
         let dialect = Arc::clone(&self.dialect);
@@ -282,7 +282,7 @@
 
     /// Submits a batch once; nothing if no answer comes.
     pub async fn submit(&self, node: usize, id: &str, batch: &Value) -> Option<Answer> {
-        let call = self.keyed(submission(&self.names(), HOST, id, batch));
+        let call = self.with_api_key(submission(&self.names(), HOST, id, batch));
         call.send(self.nodes[node].callers).await
     }
 
@@ -295,13 +295,13 @@
     /// Reads one page of a batch's results, whatever the answer is.
     pub async fn read_answer(&self, node: usize, id: &str, after: usize) -> Option<Answer> {
         let path = format!("{}{id}?after={after}", self.dialect.paths().batches);
-        self.keyed(Call::new(Method::GET, HOST, path))
+        self.with_api_key(Call::new(Method::GET, HOST, path))
             .send(self.nodes[node].callers)
             .await
     }
 
     /// A call with the cluster's key, if it has one.
-    pub fn keyed(&self, call: Call) -> Call {
+    pub fn with_api_key(&self, call: Call) -> Call {
         match &self.api_key {
             Some(key) => call.header(&self.names().api_key, key),
             None => call,
@@ -311,7 +311,7 @@
     /// Ends a batch.
     pub async fn end(&self, node: usize, id: &str) -> Option<Answer> {
         let path = format!("{}{id}", self.dialect.paths().batches);
-        self.keyed(Call::new(Method::DELETE, HOST, path))
+        self.with_api_key(Call::new(Method::DELETE, HOST, path))
             .send(self.nodes[node].callers)
             .await
     }
@@ -353,13 +353,16 @@
 where
     Trying: Future<Output = Option<Outcome>>,
 {
-    let give_up_at = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + EVENTUALLY_TIMEOUT;
     loop {
         if let Some(outcome) = attempt().await {
             return outcome;
         }
-        assert!(Instant::now() < give_up_at, "{what}: not in {PATIENCE:?}");
-        tokio::time::sleep(STEP).await;
+        assert!(
+            Instant::now() < deadline,
+            "{what}: not in {EVENTUALLY_TIMEOUT:?}"
+        );
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/crates/sloetrail-serving-testkit/src/congested_proxy.rs
+++ b/crates/sloetrail-serving-testkit/src/congested_proxy.rs
@@ -11,9 +11,9 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 /// Connections that the queue is asked to hold.
-const QUEUE: u32 = 1;
+const BACKLOG: u32 = 1;
 /// A connection that is not made within this time found the queue full.
-const FULL_AFTER: Duration = Duration::from_millis(100);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The proxy.
 pub struct CongestedProxy {
@@ -35,10 +35,12 @@
         let socket = TcpSocket::new_v4().expect("a socket");
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         socket.bind(any_port).expect("a free port");
-        let listener = socket.listen(QUEUE).expect("listens");
+        let listener = socket.listen(BACKLOG).expect("listens");
         let address = listener.local_addr().expect("bound");
         let mut fillers = Vec::new();
-        while let Ok(filler) = tokio::time::timeout(FULL_AFTER, TcpStream::connect(address)).await {
+        while let Ok(filler) =
+            tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await
+        {
             fillers.push(filler.expect("loopback connects"));
         }
         Arc::new(Self {
--- a/crates/sloetrail-serving-testkit/src/engine.rs
+++ b/crates/sloetrail-serving-testkit/src/engine.rs
@@ -35,7 +35,7 @@
     orders_taken: u64,
     fault: EngineFault,
     fault_count: Option<usize>,
-    pace: Duration,
+    event_interval: Duration,
     runs: Vec<RunRecord>,
     events: BTreeSet<EventRecord>,
     orders: Vec<OrderRecord>,
@@ -43,16 +43,16 @@
     draining: bool,
     listed_address: SocketAddr,
     /// When it began to be cold, and for how long.
-    colds: Vec<(Instant, Duration)>,
+    cold_periods: Vec<(Instant, Duration)>,
     arrivals: Vec<Instant>,
     resets: CancellationToken,
     /// The body of the requests under which it crashes.
-    lethal: Option<Bytes>,
+    crash_body: Option<Bytes>,
     software: String,
 }
 
 impl State {
-    fn new(address: SocketAddr, models: &[&str], pace: Duration) -> Self {
+    fn new(address: SocketAddr, models: &[&str], event_interval: Duration) -> Self {
         let at_version_one = |model: &&str| ((*model).to_owned(), 1);
         Self {
             versions: models.iter().map(at_version_one).collect(),
@@ -60,23 +60,23 @@
             orders_taken: 0,
             fault: EngineFault::None,
             fault_count: None,
-            pace,
+            event_interval,
             runs: Vec::new(),
             events: BTreeSet::new(),
             orders: Vec::new(),
             late_orders: Vec::new(),
             draining: false,
             listed_address: address,
-            colds: Vec::new(),
+            cold_periods: Vec::new(),
             arrivals: Vec::new(),
             resets: CancellationToken::new(),
-            lethal: None,
+            crash_body: None,
             software: "v1".to_owned(),
         }
     }
 
     fn cold_remaining(&self) -> Duration {
-        let last = self.colds.last();
+        let last = self.cold_periods.last();
         last.map_or(Duration::ZERO, |(began, time)| {
             time.saturating_sub(began.elapsed())
         })
@@ -84,7 +84,7 @@
 }
 
 /// A back end.
-pub struct EngineStandIn {
+pub struct FakeEngine {
     /// Its id.
     pub id: String,
     /// Its service.
@@ -99,17 +99,17 @@
     stopped: CancellationToken,
 }
 
-impl EngineStandIn {
+impl FakeEngine {
     /// Starts a back end of a service. `models` are at version one.
     pub async fn start(
         wire: Arc<dyn EngineWire>,
         service: &str,
         zone: &str,
         models: &[&str],
-        pace: Duration,
+        event_interval: Duration,
     ) -> Arc<Self> {
         let any = "127.0.0.1:0".parse().expect("an address");
-        Self::start_at(any, wire, service, zone, models, pace).await
+        Self::start_at(any, wire, service, zone, models, event_interval).await
     }
 
     /// Starts a back end at an address, which another one may have had before.
@@ -119,11 +119,19 @@
         service: &str,
         zone: &str,
         models: &[&str],
-        pace: Duration,
+        event_interval: Duration,
     ) -> Arc<Self> {
         let number = NEXT_ID.fetch_add(1, Ordering::Relaxed);
-        let life = (format!("engine-{number}"), FIRST_START_MS + number);
-        Self::begin(life, address, wire, (service, zone), models, pace).await
+        let incarnation = (format!("engine-{number}"), FIRST_START_MS + number);
+        Self::begin(
+            incarnation,
+            address,
+            wire,
+            (service, zone),
+            models,
+            event_interval,
+        )
+        .await
     }
 
     /// Starts again under the name and address of one that has crashed, or crashes now. It
@@ -132,14 +140,22 @@
         self.crash();
         let models: Vec<String> = self.state().versions.keys().cloned().collect();
         let models: Vec<&str> = models.iter().map(String::as_str).collect();
-        let pace = self.state().pace;
+        let event_interval = self.state().event_interval;
         let started_ms = self.started_ms.saturating_add_signed(1_000 + clock_jump_ms);
-        let life = (self.id.clone(), started_ms);
-        let place = (self.service.as_str(), self.zone.as_str());
+        let incarnation = (self.id.clone(), started_ms);
+        let location = (self.service.as_str(), self.zone.as_str());
         let wire = Arc::clone(&self.wire);
         // The port is free once the tasks of the life before have seen its end.
         tokio::time::sleep(Duration::from_millis(20)).await;
-        Self::begin(life, self.address, wire, place, &models, pace).await
+        Self::begin(
+            incarnation,
+            self.address,
+            wire,
+            location,
+            &models,
+            event_interval,
+        )
+        .await
     }
 
     async fn begin(
@@ -148,7 +164,7 @@
         wire: Arc<dyn EngineWire>,
         (service, zone): (&str, &str),
         models: &[&str],
-        pace: Duration,
+        event_interval: Duration,
     ) -> Arc<Self> {
         let listener = TcpListener::bind(address).await.expect("a free port");
         let address = listener.local_addr().expect("bound");
@@ -159,7 +175,7 @@
             zone: zone.to_owned(),
             address,
             wire,
-            state: Mutex::new(State::new(address, models, pace)),
+            state: Mutex::new(State::new(address, models, event_interval)),
             stopped: CancellationToken::new(),
         });
         tokio::spawn(Arc::clone(&engine).serve(listener));
@@ -200,18 +216,18 @@
     }
 
     /// The time between two events.
-    pub fn set_pace(&self, pace: Duration) {
-        self.state().pace = pace;
+    pub fn set_event_interval(&self, event_interval: Duration) {
+        self.state().event_interval = event_interval;
     }
 
     /// Is cold from now on for a while, and says so when it is listed again.
     pub fn set_cold(&self, time: Duration) {
-        self.state().colds.push((Instant::now(), time));
+        self.state().cold_periods.push((Instant::now(), time));
     }
 
     /// When it began to be cold each time, and for how long.
-    pub fn colds(&self) -> Vec<(Instant, Duration)> {
-        self.state().colds.clone()
+    pub fn cold_periods(&self) -> Vec<(Instant, Duration)> {
+        self.state().cold_periods.clone()
     }
 
     /// When requests came, those that were refused included, but not those meant for
@@ -239,8 +255,8 @@
     }
 
     /// Crashes from now on, a moment after it has begun to run a request with this body.
-    pub fn set_lethal(&self, body: impl Into<Bytes>) {
-        self.state().lethal = Some(body.into());
+    pub fn set_crash_body(&self, body: impl Into<Bytes>) {
+        self.state().crash_body = Some(body.into());
     }
 
     /// Runs software of this version, and says so when it is listed again.
--- a/crates/sloetrail-serving-testkit/src/engine/connection.rs
+++ b/crates/sloetrail-serving-testkit/src/engine/connection.rs
@@ -2,7 +2,7 @@
 
 use super::records::RecordGuard;
 use super::series::Series;
-use super::{EngineFault, EngineStandIn};
+use super::{EngineFault, FakeEngine};
 use bytes::Bytes;
 use futures_util::stream;
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Request, Response, StatusCode};
@@ -20,7 +20,7 @@
 /// The body of an answer, at once or as a series.
 pub(super) type EngineBody = UnsyncBoxBody<Bytes, io::Error>;
 
-impl EngineStandIn {
+impl FakeEngine {
     /// Answers connections until the back end is crashed.
     pub(super) async fn serve(self: Arc<Self>, listener: TcpListener) {
         loop {
@@ -62,7 +62,7 @@
             return Ok(self.plain(StatusCode::MISDIRECTED_REQUEST));
         }
         if head.method == Method::GET && head.uri.path() == self.wire.status_path() {
-            return Ok(self.tell_status());
+            return Ok(self.status_response());
         }
         if head.uri.path() == self.wire.order_path() {
             return self.take_order(&body).await;
@@ -70,12 +70,12 @@
         self.run(head, body).await
     }
 
-    fn tell_status(&self) -> Response<EngineBody> {
+    fn status_response(&self) -> Response<EngineBody> {
         let state = self.state();
         let status = self
             .wire
             .status(&state.versions, state.busy, state.orders_taken);
-        Response::new(whole(status.to_string()))
+        Response::new(full_body(status.to_string()))
     }
 
     /// Runs a request, unless a fault keeps it from that.
@@ -91,24 +91,24 @@
         if fault == EngineFault::Refuses {
             return Ok(self.refusal());
         }
-        let record = self.note_run(&head, &id);
-        if self.state().lethal.as_ref() == Some(&body) {
+        let record = self.record_run(&head, &id);
+        if self.state().crash_body.as_ref() == Some(&body) {
             // It ends whether or not somebody still waits for the answer.
-            let (engine, pace) = (Arc::clone(&self), self.state().pace);
+            let (engine, event_interval) = (Arc::clone(&self), self.state().event_interval);
             let crashing = tokio::spawn(async move {
-                tokio::time::sleep(pace).await;
+                tokio::time::sleep(event_interval).await;
                 engine.crash();
             });
             let _ = crashing.await;
             return Err(io::Error::other("the back end has crashed"));
         }
-        if let Some(outcome) = self.outcome_of(fault, &id).await {
+        if let Some(outcome) = self.fault_outcome(fault, &id).await {
             return outcome;
         }
-        let Some(events) = wanted_events(&body) else {
-            let pace = self.state().pace;
-            tokio::time::sleep(pace).await;
-            self.note_end(record);
+        let Some(events) = requested_event_count(&body) else {
+            let event_interval = self.state().event_interval;
+            tokio::time::sleep(event_interval).await;
+            self.record_completion(record);
             return Ok(self.signed(StatusCode::OK, &id));
         };
         let break_after = match fault {
@@ -119,7 +119,7 @@
     }
 
     /// What a fault makes of a request that has begun to run; nothing if it runs on.
-    async fn outcome_of(
+    async fn fault_outcome(
         &self,
         fault: EngineFault,
         id: &str,
@@ -131,7 +131,7 @@
             EngineFault::Overloaded => self.signed(StatusCode::TOO_MANY_REQUESTS, id),
             EngineFault::Fails => self.signed(StatusCode::INTERNAL_SERVER_ERROR, id),
             EngineFault::Impossible => self.signed(StatusCode::UNPROCESSABLE_ENTITY, id),
-            EngineFault::Crossed => self.signed(StatusCode::OK, "another"),
+            EngineFault::WrongRequestId => self.signed(StatusCode::OK, "another"),
             EngineFault::None
             | EngineFault::Refuses
             | EngineFault::BreaksOff(_)
@@ -161,7 +161,7 @@
             next: first,
             last: events,
             version,
-            left: break_after,
+            remaining: break_after,
             field: names.weight_version.as_str().to_owned(),
         };
         let pieces = stream::unfold(source, Series::next);
@@ -180,7 +180,7 @@
 
     /// An answer without a body that names the back end.
     pub(super) fn plain(&self, status: StatusCode) -> Response<EngineBody> {
-        let mut response = Response::new(whole(String::new()));
+        let mut response = Response::new(full_body(String::new()));
         *response.status_mut() = status;
         let names = self.wire.headers();
         if let Ok(id) = HeaderValue::from_str(&self.id) {
@@ -193,7 +193,7 @@
     fn signed(&self, status: StatusCode, id: &str) -> Response<EngineBody> {
         let names = self.wire.headers();
         let mut response = self.plain(status);
-        *response.body_mut() = whole(format!("answer to {id}"));
+        *response.body_mut() = full_body(format!("answer to {id}"));
         let headers = response.headers_mut();
         if let Ok(echo) = HeaderValue::from_str(id) {
             headers.insert(names.request_id, echo);
@@ -206,7 +206,7 @@
 }
 
 /// A body `events=N` asks for a series of N events.
-fn wanted_events(body: &[u8]) -> Option<u64> {
+fn requested_event_count(body: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(body).ok()?;
     text.strip_prefix("events=")?.parse().ok()
 }
@@ -217,7 +217,7 @@
     Some(value.to_owned())
 }
 
-fn whole(text: String) -> EngineBody {
+fn full_body(text: String) -> EngineBody {
     let never = |never: Infallible| match never {};
     Full::new(Bytes::from(text)).map_err(never).boxed_unsync()
 }
--- a/crates/sloetrail-serving-testkit/src/engine/fault.rs
+++ b/crates/sloetrail-serving-testkit/src/engine/fault.rs
@@ -23,7 +23,7 @@
     /// It breaks each series of events off after so many.
     BreaksOff(usize),
     /// It answers under the id of another request.
-    Crossed,
+    WrongRequestId,
     /// It takes requests and says nothing.
     Silent,
     /// It takes the orders and answers nothing, and carries them out so much later.
--- a/crates/sloetrail-serving-testkit/src/engine/orders.rs
+++ b/crates/sloetrail-serving-testkit/src/engine/orders.rs
@@ -1,14 +1,14 @@
 //! Orders to use another version, and how they are carried out.
 
 use super::connection::EngineBody;
-use super::{EngineFault, EngineStandIn, LOAD_TIME, OrderRecord};
+use super::{EngineFault, FakeEngine, LOAD_TIME, OrderRecord};
 use crate::wire::ReadOrder;
 use http::{Response, StatusCode};
 use std::io;
 use std::sync::Arc;
 use std::time::Instant;
 
-impl EngineStandIn {
+impl FakeEngine {
     /// Answers an order, and carries it out if it is in turn.
     pub(super) async fn take_order(
         self: Arc<Self>,
@@ -22,16 +22,16 @@
             self.state().late_orders.push(order.clone());
             tokio::spawn(async move {
                 tokio::time::sleep(after).await;
-                engine.carry_out(order);
+                engine.apply_order(order);
             });
             return Err(io::Error::other("the answer is lost"));
         }
-        let status = self.carry_out(order);
+        let status = self.apply_order(order);
         Ok(self.plain(status))
     }
 
     /// Carries an order out after the time that loading takes; the answer to it at once.
-    fn carry_out(self: &Arc<Self>, order: ReadOrder) -> StatusCode {
+    fn apply_order(self: &Arc<Self>, order: ReadOrder) -> StatusCode {
         let mut state = self.state();
         let current = state
             .versions
--- a/crates/sloetrail-serving-testkit/src/engine/records.rs
+++ b/crates/sloetrail-serving-testkit/src/engine/records.rs
@@ -1,6 +1,6 @@
 //! What a back end writes down of the requests and orders that came.
 
-use super::EngineStandIn;
+use super::FakeEngine;
 use super::connection::text;
 use crate::wire::ReadOrder;
 use std::collections::BTreeSet;
@@ -58,7 +58,7 @@
 
 /// The record of a run; one that is dropped before its end was abandoned.
 pub(super) struct RecordGuard {
-    pub(super) engine: Arc<EngineStandIn>,
+    pub(super) engine: Arc<FakeEngine>,
     /// Where the record is among those of all runs.
     pub(super) index: usize,
     /// The number of the first event that is to be made.
@@ -74,9 +74,13 @@
     }
 }
 
-impl EngineStandIn {
+impl FakeEngine {
     /// Writes down that a request began to run.
-    pub(super) fn note_run(self: &Arc<Self>, head: &http::request::Parts, id: &str) -> RecordGuard {
+    pub(super) fn record_run(
+        self: &Arc<Self>,
+        head: &http::request::Parts,
+        id: &str,
+    ) -> RecordGuard {
         let names = self.wire.headers();
         let number = |name| text(&head.headers, name).and_then(|text| text.parse::<u64>().ok());
         let last_event = number(&names.last_event_id);
@@ -102,7 +106,7 @@
     }
 
     /// Writes down that an event was made, before anybody is told.
-    pub(super) fn note_event(&self, id: &str, number: u64, version: u64) {
+    pub(super) fn record_event(&self, id: &str, number: u64, version: u64) {
         let id = id.to_owned();
         self.state().events.insert(EventRecord {
             id,
@@ -112,7 +116,7 @@
     }
 
     /// Writes down that the answer of a request was sent whole.
-    pub(super) fn note_end(&self, record: RecordGuard) {
+    pub(super) fn record_completion(&self, record: RecordGuard) {
         let mut state = self.state();
         state.runs[record.index].finished = true;
         // The guard locks the state when it is dropped.
--- a/crates/sloetrail-serving-testkit/src/engine/series.rs
+++ b/crates/sloetrail-serving-testkit/src/engine/series.rs
@@ -1,6 +1,6 @@
 //! The events of a run, made one after the other at the engine's pace.
 
-use super::EngineStandIn;
+use super::FakeEngine;
 use super::records::RecordGuard;
 use bytes::Bytes;
 use hyper::body::Frame;
@@ -9,7 +9,7 @@
 
 /// A series of events that is being made.
 pub(super) struct Series {
-    pub(super) engine: Arc<EngineStandIn>,
+    pub(super) engine: Arc<FakeEngine>,
     pub(super) record: Option<RecordGuard>,
     /// The item's id.
     pub(super) id: String,
@@ -20,7 +20,7 @@
     /// The version of the weights that made the event before.
     pub(super) version: u64,
     /// Events until the series breaks off; nothing if it does not.
-    pub(super) left: Option<usize>,
+    pub(super) remaining: Option<usize>,
     /// The field that tells of a change of the version.
     pub(super) field: String,
 }
@@ -33,16 +33,16 @@
         if self.next > self.last {
             if let Some(record) = self.record.take() {
                 let engine = Arc::clone(&self.engine);
-                engine.note_end(record);
+                engine.record_completion(record);
             }
             return None;
         }
-        if self.left == Some(0) {
+        if self.remaining == Some(0) {
             return Some((Err(io::Error::other("broken off")), self));
         }
-        self.left = self.left.map(|left| left - 1);
-        let pace = self.engine.state().pace;
-        tokio::time::sleep(pace).await;
+        self.remaining = self.remaining.map(|remaining| remaining - 1);
+        let event_interval = self.engine.state().event_interval;
+        tokio::time::sleep(event_interval).await;
         let version = self.engine.current_version();
         let mut text = String::new();
         if version != self.version {
@@ -51,7 +51,7 @@
         }
         let (number, id) = (self.next, &self.id);
         text.push_str(&format!("id: {number}\ndata: {id}/{number}/{version}\n\n"));
-        self.engine.note_event(id, number, version);
+        self.engine.record_event(id, number, version);
         self.next += 1;
         Some((Ok(Frame::data(Bytes::from(text))), self))
     }
--- a/crates/sloetrail-serving-testkit/src/keyed.rs
+++ b/crates/sloetrail-serving-testkit/src/keyed.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// What a back end takes for an event.
-pub const PACE: Duration = Duration::from_millis(5);
+pub const EVENT_INTERVAL: Duration = Duration::from_millis(5);
 /// The table of claims.
 pub const CLAIMS: &str = "sloetrail_claims";
 /// The table that tells when claims are over.
@@ -26,7 +26,7 @@
 pub const KEY_IN_PROGRESS: u64 = 1201;
 
 /// A request with a key; its id is its own.
-pub struct Keyed {
+pub struct IdempotentRequest {
     /// Its id.
     pub id: &'static str,
     /// Its key.
@@ -37,7 +37,7 @@
     pub body: &'static str,
 }
 
-impl Default for Keyed {
+impl Default for IdempotentRequest {
     fn default() -> Self {
         Self {
             id: "r1",
@@ -48,7 +48,7 @@
     }
 }
 
-impl Keyed {
+impl IdempotentRequest {
     /// The call itself.
     pub fn call(&self, cluster: &Cluster) -> Call {
         let names = cluster.names();
@@ -57,7 +57,7 @@
             .header(&names.request_id, self.id)
             .header(&name, self.key)
             .body(self.body);
-        cluster.keyed(call)
+        cluster.with_api_key(call)
     }
 
     /// Sends it to a node and returns its answer.
@@ -69,10 +69,10 @@
 }
 
 /// The usual request under another id.
-pub fn again(id: &'static str) -> Keyed {
-    Keyed {
+pub fn request_with_id(id: &'static str) -> IdempotentRequest {
+    IdempotentRequest {
         id,
-        ..Keyed::default()
+        ..IdempotentRequest::default()
     }
 }
 
@@ -94,16 +94,16 @@
 }
 
 /// Sends the usual request until it gets its answer.
-pub async fn answered(cluster: &Cluster, node: usize, id: &'static str) -> Answer {
+pub async fn send_until_answered(cluster: &Cluster, node: usize, id: &'static str) -> Answer {
     eventually("the request is answered", || async {
-        let answer = again(id).send(cluster, node).await;
+        let answer = request_with_id(id).send(cluster, node).await;
         (answer.status == 200).then_some(answer)
     })
     .await
 }
 
 /// Waits until a key is claimed.
-pub async fn claim_is_written(cluster: &Cluster) {
+pub async fn wait_for_claim(cluster: &Cluster) {
     eventually("the claim is written", || async {
         (!cluster.table.rows(CLAIMS).is_empty()).then_some(())
     })
@@ -111,7 +111,7 @@
 }
 
 /// Waits until the usual request runs.
-pub async fn runs(cluster: &Cluster) {
+pub async fn wait_until_running(cluster: &Cluster) {
     eventually("the request runs", || async {
         (runs_at(cluster, PATH) > 0).then_some(())
     })
--- a/crates/sloetrail-serving-testkit/src/stopwatch.rs
+++ b/crates/sloetrail-serving-testkit/src/stopwatch.rs
@@ -15,9 +15,9 @@
 /// How long each sleep is asked to take.
 const SLEEP: Duration = Duration::from_millis(1);
 /// What a sleep counts at most. Timers of an idle machine are up to 2 ms late.
-const COUNTED_MOST: Duration = Duration::from_millis(5);
+const MAX_COUNTED_SLEEP: Duration = Duration::from_millis(5);
 /// Tasks that sleep: a delay may strike one thread and spare the others.
-const SLEEPERS: usize = 4;
+const SLEEPER_COUNT: usize = 4;
 
 /// A watch that stands still while the machine does not run what is due.
 pub struct Stopwatch {
@@ -32,7 +32,7 @@
     pub fn start() -> Self {
         let mut sleepers = JoinSet::new();
         let mut counts = Vec::new();
-        for _ in 0..SLEEPERS {
+        for _ in 0..SLEEPER_COUNT {
             let count = Arc::new(AtomicU64::new(0));
             sleepers.spawn(count_sleeps(Arc::clone(&count), Instant::now()));
             counts.push(count);
@@ -46,8 +46,8 @@
     /// The time since the start, less what the machine has added for any of the tasks.
     pub fn elapsed(&self) -> Duration {
         let counts = self.counts.iter();
-        let least = counts.map(|count| count.load(Ordering::SeqCst)).min();
-        Duration::from_micros(least.unwrap_or_default())
+        let min_us = counts.map(|count| count.load(Ordering::SeqCst)).min();
+        Duration::from_micros(min_us.unwrap_or_default())
     }
 }
 
@@ -55,7 +55,7 @@
     loop {
         tokio::time::sleep(SLEEP).await;
         let now = Instant::now();
-        let counted = (now - before).min(COUNTED_MOST);
+        let counted = (now - before).min(MAX_COUNTED_SLEEP);
         count.fetch_add(counted.as_micros() as u64, Ordering::SeqCst);
         before = now;
     }
--- a/crates/sloetrail-serving-testkit/src/supply.rs
+++ b/crates/sloetrail-serving-testkit/src/supply.rs
@@ -19,7 +19,7 @@
 }
 
 /// Writes orders down.
-pub struct SupplyBook {
+pub struct SupplyRecorder {
     state: Mutex<State>,
 }
 
@@ -28,7 +28,7 @@
     next_answer: Option<SupplyAnswer>,
 }
 
-impl SupplyBook {
+impl SupplyRecorder {
     /// A book without orders, which accepts them.
     pub fn new() -> Arc<Self> {
         Arc::new(Self {
@@ -55,12 +55,12 @@
 }
 
 #[async_trait]
-impl EngineSupply for SupplyBook {
+impl EngineSupply for SupplyRecorder {
     async fn order(
         &self,
         order: &SupplyOrder,
         holder: &LeaseHolder,
-        _patience: Duration,
+        _timeout: Duration,
     ) -> SupplyAnswer {
         let mut state = self.state();
         state.records.push(SupplyRecord {
--- a/crates/sloetrail-serving-testkit/src/table.rs
+++ b/crates/sloetrail-serving-testkit/src/table.rs
@@ -24,7 +24,7 @@
     /// It is done this much later if its conditions still hold, and not answered.
     DoneLate(Duration),
     /// It is lost on the way.
-    LostOnTheWay,
+    RequestLost,
     /// It is refused.
     Refused,
     /// It is done and answered after this time.
@@ -36,7 +36,7 @@
     rows: BTreeMap<RowAddress, (Bytes, u64)>,
     version: u64,
     history: Vec<(u64, Change)>,
-    forgotten_before: u64,
+    history_lost_before: u64,
     commits: usize,
     fault: CommitFault,
     /// The fault applies to this many commits; nothing means all.
@@ -49,7 +49,7 @@
 /// The table.
 pub struct MemoryTable {
     began: Instant,
-    ahead_ms: AtomicU64,
+    clock_offset_ms: AtomicU64,
     state: Mutex<State>,
     changed: watch::Sender<u64>,
 }
@@ -60,7 +60,7 @@
         let (changed, _) = watch::channel(0);
         Arc::new(Self {
             began: Instant::now(),
-            ahead_ms: AtomicU64::new(0),
+            clock_offset_ms: AtomicU64::new(0),
             state: Mutex::default(),
             changed,
         })
@@ -69,13 +69,13 @@
     /// Writes a row as the operator or a back end does: always answered.
     pub fn write(&self, address: RowAddress, value: impl Into<Bytes>) {
         let transaction = Transaction::new().put(address, value);
-        self.judge(&transaction);
+        self.apply(&transaction);
     }
 
     /// Deletes a row.
     pub fn delete(&self, address: RowAddress) {
         let transaction = Transaction::new().delete(address);
-        self.judge(&transaction);
+        self.apply(&transaction);
     }
 
     /// Every row of a table.
@@ -106,7 +106,7 @@
     }
 
     /// How many of the faulty transactions are still to come; nothing means all.
-    pub fn faults_left(&self) -> Option<usize> {
+    pub fn remaining_faults(&self) -> Option<usize> {
         self.state().fault_count
     }
 
@@ -119,7 +119,7 @@
     /// Forgets all changes so far.
     pub fn forget_history(&self) {
         let mut state = self.state();
-        state.forgotten_before = state.version;
+        state.history_lost_before = state.version;
         state.history.clear();
         drop(state);
         self.changed.send_modify(|_| {});
@@ -128,7 +128,8 @@
     /// Puts the table's clock forward.
     pub fn advance_clock(&self, time: Duration) {
         let milliseconds = time.as_millis() as u64;
-        self.ahead_ms.fetch_add(milliseconds, Ordering::SeqCst);
+        self.clock_offset_ms
+            .fetch_add(milliseconds, Ordering::SeqCst);
     }
 
     /// Transactions of nodes that were judged.
@@ -140,7 +141,7 @@
         self.state.lock().expect("not poisoned")
     }
 
-    fn judge(&self, transaction: &Transaction) -> Commit {
+    fn apply(&self, transaction: &Transaction) -> Commit {
         let mut state = self.state();
         let holds = transaction.conditions.iter().all(|condition| {
             let version = state
@@ -185,13 +186,13 @@
         let mut state = self.state();
         state.commits += 1;
         if state.down {
-            return CommitFault::LostOnTheWay;
+            return CommitFault::RequestLost;
         }
-        let is_meant = state.fault_table.as_ref().is_none_or(|table| {
+        let applies = state.fault_table.as_ref().is_none_or(|table| {
             let mut written = transaction.puts.iter();
             written.any(|(address, _)| address.table == *table)
         });
-        if !is_meant {
+        if !applies {
             return CommitFault::None;
         }
         match &mut state.fault_count {
--- a/crates/sloetrail-serving-testkit/src/table/link.rs
+++ b/crates/sloetrail-serving-testkit/src/table/link.rs
@@ -36,17 +36,17 @@
     uses: Mutex<BTreeMap<String, LinkUse>>,
     cut: AtomicBool,
     answer_ms: AtomicU64,
-    held: watch::Sender<bool>,
+    blocked: watch::Sender<bool>,
 }
 
 impl TableLink {
     /// A way to a table.
     pub fn new(table: Arc<MemoryTable>) -> Arc<Self> {
-        let (held, _) = watch::channel(false);
+        let (blocked, _) = watch::channel(false);
         Arc::new(Self {
             table,
             uses: Mutex::default(),
-            held,
+            blocked,
             cut: AtomicBool::new(false),
             answer_ms: AtomicU64::new(ANSWER_MS),
         })
@@ -58,7 +58,7 @@
         uses.get(table).copied().unwrap_or_default()
     }
 
-    fn note_writes(&self, transaction: &Transaction) {
+    fn record_writes(&self, transaction: &Transaction) {
         let mut uses = self.uses.lock().expect("not poisoned");
         let tables: BTreeSet<&String> = transaction.puts.iter().map(|(at, _)| &at.table).collect();
         for table in tables {
@@ -66,7 +66,7 @@
         }
     }
 
-    fn note_read(&self, table: &str) {
+    fn record_read(&self, table: &str) {
         let mut uses = self.uses.lock().expect("not poisoned");
         uses.entry(table.to_owned()).or_default().reads += 1;
     }
@@ -77,15 +77,15 @@
         self.answer_ms.store(milliseconds, Ordering::SeqCst);
     }
 
-    /// Whether calls are held: they are answered once they no longer are.
-    pub fn set_held(&self, held: bool) {
-        self.held.send_replace(held);
+    /// Whether calls are blocked: they are answered once they no longer are.
+    pub fn set_blocked(&self, blocked: bool) {
+        self.blocked.send_replace(blocked);
     }
 
-    async fn answer_time(&self) {
-        let mut held = self.held.subscribe();
+    async fn delay_answer(&self) {
+        let mut blocked = self.blocked.subscribe();
         // The sender lives as long as the link.
-        let _ = held.wait_for(|held| !*held).await;
+        let _ = blocked.wait_for(|blocked| !*blocked).await;
         let milliseconds = self.answer_ms.load(Ordering::SeqCst);
         tokio::time::sleep(Duration::from_millis(milliseconds)).await;
     }
@@ -96,13 +96,13 @@
         self.table.changed.send_modify(|_| {});
     }
 
-    fn is_silent(&self) -> bool {
+    fn is_unreachable(&self) -> bool {
         self.cut.load(Ordering::SeqCst) || self.table.is_down()
     }
 
-    async fn reach(&self) -> Result<(), ReadError> {
-        self.answer_time().await;
-        if self.is_silent() {
+    async fn check_reachable(&self) -> Result<(), ReadError> {
+        self.delay_answer().await;
+        if self.is_unreachable() {
             tokio::time::sleep(TIMEOUT).await;
             return Err(ReadError::Unavailable);
         }
@@ -111,7 +111,7 @@
 
     fn changes_since(&self, name: &str, since: u64) -> Result<Changes, ReadError> {
         let state = self.table.state();
-        if since < state.forgotten_before {
+        if since < state.history_lost_before {
             return Err(ReadError::HistoryLost);
         }
         let newer = state.history.iter().filter(|(version, change)| {
@@ -139,36 +139,36 @@
     }
 
     fn now_ms(&self) -> Option<u64> {
-        let ahead_ms = self.table.ahead_ms.load(Ordering::SeqCst);
-        Some(1_000_000 + ahead_ms + self.table.began.elapsed().as_millis() as u64)
+        let clock_offset_ms = self.table.clock_offset_ms.load(Ordering::SeqCst);
+        Some(1_000_000 + clock_offset_ms + self.table.began.elapsed().as_millis() as u64)
     }
 
     async fn commit(&self, transaction: &Transaction) -> Result<Commit, CommitError> {
-        self.answer_time().await;
+        self.delay_answer().await;
         if self.cut.load(Ordering::SeqCst) {
             tokio::time::sleep(TIMEOUT).await;
             return Err(CommitError::Unknown);
         }
-        self.note_writes(transaction);
-        if !lies_in_one_partition(transaction) {
+        self.record_writes(transaction);
+        if !is_single_partition(transaction) {
             return Err(CommitError::NotDone);
         }
         match self.table.take_fault(transaction) {
-            CommitFault::None => return Ok(self.table.judge(transaction)),
+            CommitFault::None => return Ok(self.table.apply(transaction)),
             CommitFault::Refused => return Err(CommitError::NotDone),
             CommitFault::Slow(time) => {
                 tokio::time::sleep(time).await;
-                return Ok(self.table.judge(transaction));
+                return Ok(self.table.apply(transaction));
             }
-            CommitFault::LostOnTheWay => {}
+            CommitFault::RequestLost => {}
             CommitFault::DoneUnanswered => {
-                self.table.judge(transaction);
+                self.table.apply(transaction);
             }
             CommitFault::DoneLate(after) => {
                 let (table, late) = (Arc::clone(&self.table), transaction.clone());
                 std::thread::spawn(move || {
                     std::thread::sleep(after);
-                    table.judge(&late);
+                    table.apply(&late);
                 });
             }
         }
@@ -177,8 +177,8 @@
     }
 
     async fn scan(&self, range: &KeyRange) -> Result<Page, ReadError> {
-        self.reach().await?;
-        self.note_read(&range.table);
+        self.check_reachable().await?;
+        self.record_read(&range.table);
         let state = self.table.state();
         let limit = range.limit.unwrap_or(PAGE_ROWS).min(PAGE_ROWS);
         let within = |address: &RowAddress| {
@@ -210,22 +210,22 @@
         since: RowVersion,
         wait: Duration,
     ) -> Result<Changes, ReadError> {
-        self.reach().await?;
+        self.check_reachable().await?;
         let mut changed = self.table.changed.subscribe();
-        let give_up_at = tokio::time::Instant::now() + wait;
+        let deadline = tokio::time::Instant::now() + wait;
         loop {
-            if self.is_silent() {
+            if self.is_unreachable() {
                 tokio::time::sleep(TIMEOUT).await;
                 return Err(ReadError::Unavailable);
             }
             let changes = self.changes_since(table, since.0)?;
-            let is_over = tokio::time::Instant::now() >= give_up_at;
+            let is_over = tokio::time::Instant::now() >= deadline;
             if !changes.changes.is_empty() || is_over {
-                self.answer_time().await;
+                self.delay_answer().await;
                 return self.changes_since(table, since.0);
             }
             // Either something changes or the time is over; the loop looks again.
-            let _ = tokio::time::timeout_at(give_up_at, changed.changed()).await;
+            let _ = tokio::time::timeout_at(deadline, changed.changed()).await;
         }
     }
 }
@@ -246,14 +246,14 @@
     async fn commit(
         &self,
         transaction: &Transaction,
-        patience: Duration,
+        timeout: Duration,
     ) -> Called<Commit, CommitError> {
-        let commit = tokio::time::timeout(patience, self.0.commit(transaction)).await;
+        let commit = tokio::time::timeout(timeout, self.0.commit(transaction)).await;
         Ok(commit.unwrap_or(Err(CommitError::Unknown))?)
     }
 
-    async fn scan(&self, range: &KeyRange, patience: Duration) -> Called<Page, ReadError> {
-        let page = tokio::time::timeout(patience, self.0.scan(range)).await;
+    async fn scan(&self, range: &KeyRange, timeout: Duration) -> Called<Page, ReadError> {
+        let page = tokio::time::timeout(timeout, self.0.scan(range)).await;
         Ok(page.unwrap_or(Err(ReadError::Unavailable))?)
     }
 
@@ -262,16 +262,16 @@
         table: &str,
         since: RowVersion,
         wait: Duration,
-        patience: Duration,
+        timeout: Duration,
     ) -> Called<Changes, ReadError> {
         let asking = self.0.changes(table, since, wait);
-        let changes = tokio::time::timeout(wait + patience, asking).await;
+        let changes = tokio::time::timeout(wait + timeout, asking).await;
         Ok(changes.unwrap_or(Err(ReadError::Unavailable))?)
     }
 }
 
 /// As the platform's store demands of a transaction that does not say otherwise.
-fn lies_in_one_partition(transaction: &Transaction) -> bool {
+fn is_single_partition(transaction: &Transaction) -> bool {
     let mut addresses = transaction.addresses();
     let Some(first) = addresses.next() else {
         return true;
--- a/crates/sloetrail-serving-testkit/src/usage.rs
+++ b/crates/sloetrail-serving-testkit/src/usage.rs
@@ -15,7 +15,7 @@
     #[default]
     None,
     /// It is taken, and the answer is lost.
-    TakenUnanswered,
+    AcceptedUnanswered,
     /// It is not taken.
     Away,
     /// It is refused for good.
@@ -37,7 +37,7 @@
 
 /// Takes reports and writes them down.
 #[derive(Default)]
-pub struct ReportBook {
+pub struct ReportRecorder {
     state: Mutex<State>,
 }
 
@@ -47,7 +47,7 @@
     fault: ReportFault,
 }
 
-impl ReportBook {
+impl ReportRecorder {
     /// A book without reports.
     pub fn new() -> Arc<Self> {
         Arc::default()
@@ -96,16 +96,16 @@
 }
 
 #[async_trait]
-impl UsageRecipient for ReportBook {
+impl UsageRecipient for ReportRecorder {
     async fn report(
         &self,
         report: &UsageReport,
         holder: &LeaseHolder,
-        _patience: Duration,
+        _timeout: Duration,
     ) -> ReportAnswer {
         let mut state = self.state();
         let fault = state.fault;
-        let taken = matches!(fault, ReportFault::None | ReportFault::TakenUnanswered);
+        let taken = matches!(fault, ReportFault::None | ReportFault::AcceptedUnanswered);
         state.records.push(ReportRecord {
             report: report.clone(),
             sender: holder.clone(),
@@ -114,7 +114,7 @@
         });
         match fault {
             ReportFault::None => ReportAnswer::Accepted,
-            ReportFault::TakenUnanswered | ReportFault::Away => ReportAnswer::NotNow,
+            ReportFault::AcceptedUnanswered | ReportFault::Away => ReportAnswer::NotNow,
             ReportFault::Refused => ReportAnswer::Refused(400),
         }
     }
--- a/crates/sloetrail-serving/tests/back_end_restarts.rs
+++ b/crates/sloetrail-serving/tests/back_end_restarts.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use sloetrail_serving_testkit::client::batch;
 use sloetrail_serving_testkit::cluster::{Cluster, MODEL, eventually};
-use sloetrail_serving_testkit::engine::{EngineFault, EngineStandIn};
+use sloetrail_serving_testkit::engine::{EngineFault, FakeEngine};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use support::{assert_each_once, items, live, native_cluster};
@@ -17,16 +17,16 @@
 /// Restarts an engine under the same name, and lists it.
 async fn restart(
     cluster: &mut Cluster,
-    engine: &EngineStandIn,
+    engine: &FakeEngine,
     clock_jump_ms: i64,
-) -> Arc<EngineStandIn> {
+) -> Arc<FakeEngine> {
     let restarted = engine.restart(clock_jump_ms).await;
     cluster.engines.push(Arc::clone(&restarted));
     cluster.list(&restarted);
     restarted
 }
 
-async fn small_cluster() -> (Cluster, Arc<EngineStandIn>) {
+async fn small_cluster() -> (Cluster, Arc<FakeEngine>) {
     let mut cluster = native_cluster();
     cluster.add_application("zone-a").await;
     let engine = cluster.add_engine(EVENT_INTERVAL).await;
@@ -219,7 +219,7 @@
         async move { call.send(address).await }
     };
     for number in 0..3 {
-        back_end.set_pace(Duration::from_millis(200));
+        back_end.set_event_interval(Duration::from_millis(200));
         let id = format!("r{number}");
         let asking = tokio::spawn(ask(&cluster, &id));
         let is_running = || async { (!back_end.runs_of(&id).is_empty()).then_some(()) };
@@ -287,7 +287,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn unreadable_row_stops_new_items_but_not_runs() {
     let (mut cluster, engine) = small_cluster().await;
-    engine.set_pace(Duration::from_millis(30));
+    engine.set_event_interval(Duration::from_millis(30));
     submit(&cluster, "b1", 2, 40).await;
     let are_running = || async { (engine.runs().len() == 2).then_some(()) };
     eventually("the items are running", are_running).await;
--- a/crates/sloetrail-serving/tests/batches.rs
+++ b/crates/sloetrail-serving/tests/batches.rs
@@ -118,7 +118,7 @@
     let cluster = usual_cluster(EVENT_INTERVAL).await;
     let faults = [
         CommitFault::Refused,
-        CommitFault::LostOnTheWay,
+        CommitFault::RequestLost,
         CommitFault::DoneUnanswered,
         CommitFault::DoneLate(Duration::from_millis(900)),
     ];
@@ -151,7 +151,7 @@
 async fn result_positions_survive_lost_commit_answers() {
     let faults = [
         CommitFault::DoneUnanswered,
-        CommitFault::LostOnTheWay,
+        CommitFault::RequestLost,
         CommitFault::DoneLate(Duration::from_millis(300)),
     ];
     for fault in faults {
--- a/crates/sloetrail-serving/tests/bound_supply.rs
+++ b/crates/sloetrail-serving/tests/bound_supply.rs
@@ -5,7 +5,7 @@
 
 use serde_json::json;
 use sloetrail_serving_testkit::cluster::{Cluster, eventually, usual_routes};
-use sloetrail_serving_testkit::supply::{SupplyBook, SupplyRecord};
+use sloetrail_serving_testkit::supply::{SupplyRecord, SupplyRecorder};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use support::{native_cluster, submit_items};
@@ -26,15 +26,15 @@
 
 struct Fixture {
     cluster: Cluster,
-    recorder: Arc<SupplyBook>,
+    recorder: Arc<SupplyRecorder>,
 }
 
 impl Fixture {
     /// Starts two engines in each of `engine_zones` and a node in each of `node_zones`.
     async fn start(engine_zones: &[&str], node_zones: &[&str]) -> Self {
-        let recorder = SupplyBook::new();
+        let recorder = SupplyRecorder::new();
         let mut cluster = native_cluster();
-        cluster.engine_supply = Some(Arc::<SupplyBook>::clone(&recorder));
+        cluster.engine_supply = Some(Arc::<SupplyRecorder>::clone(&recorder));
         cluster.scaling = Some(json!({"min": 1, "max": 8, "boot_s": 0.2}));
         let regions = [
             (NORTH_ZONE, "north"),
--- a/crates/sloetrail-serving/tests/callers_that_leave.rs
+++ b/crates/sloetrail-serving/tests/callers_that_leave.rs
@@ -129,7 +129,7 @@
     for leaving in ALL_LEAVINGS {
         let cluster = cluster_with(2).await;
         for engine in &cluster.engines {
-            engine.set_pace(Duration::from_secs(5));
+            engine.set_event_interval(Duration::from_secs(5));
         }
         assert_cancelled_when_left(&cluster, leaving, "/live/x", "question").await;
     }
@@ -151,7 +151,7 @@
         // that they end before the wait does.
         let answer_time = SETTLE_TIME * 7;
         let head_start = answer_time / 3;
-        cluster.engines[0].set_pace(answer_time);
+        cluster.engines[0].set_event_interval(answer_time);
         let answer = live(&cluster, 0, "/once/x", "ordinary").await;
         assert_eq!(answer.expect("an answer").status, 200);
         let mut others = Vec::new();
@@ -192,7 +192,7 @@
         for pace in [Duration::from_millis(20), Duration::from_millis(1_200)] {
             let cluster = cluster_with(2).await;
             for engine in &cluster.engines {
-                engine.set_pace(pace);
+                engine.set_event_interval(pace);
             }
             let mut caller = Caller::send(&cluster, "/events/x", "s1", "events=1000").await;
             let mut buffer = [0; 64];
--- a/crates/sloetrail-serving/tests/claims.rs
+++ b/crates/sloetrail-serving/tests/claims.rs
@@ -10,8 +10,8 @@
 use sloetrail_serving_testkit::cluster::{Cluster, HOST, eventually, usual_routes};
 use sloetrail_serving_testkit::engine::EngineFault;
 use sloetrail_serving_testkit::keyed::{
-    CLAIM_TIMES, CLAIMS, INVALID_KEY, KEY, KEY_IN_PROGRESS, KEY_REUSED, Keyed, PACE, PATH, again,
-    answered, assert_code, assert_not_run, runs_at,
+    CLAIM_TIMES, CLAIMS, EVENT_INTERVAL, INVALID_KEY, IdempotentRequest, KEY, KEY_IN_PROGRESS,
+    KEY_REUSED, PATH, assert_code, assert_not_run, request_with_id, runs_at, send_until_answered,
 };
 use sloetrail_serving_testkit::table::LinkUse;
 use sloetrail_serving_testkit::wire::NativeWire;
@@ -23,7 +23,7 @@
 async fn concurrent_calls_with_one_key_run_once() {
     const KEYS: usize = 12;
     const CALLERS: usize = 4;
-    let cluster = usual_cluster(PACE).await;
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     for number in 0..KEYS {
         let key = format!("key-{number}");
         let path = format!("/once/{number}");
@@ -53,11 +53,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_repeat_at_another_node_gets_the_stored_answer() {
-    let cluster = usual_cluster(PACE).await;
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     let names = cluster.names();
-    let first = Keyed::default().send(&cluster, 0).await;
+    let first = IdempotentRequest::default().send(&cluster, 0).await;
     assert_eq!(first.status, 200);
-    let repeated = answered(&cluster, 1, "r2").await;
+    let repeated = send_until_answered(&cluster, 1, "r2").await;
     assert_eq!(repeated.body, first.body);
     assert_eq!(
         repeated.header(&names.signature),
@@ -69,14 +69,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn repeats_get_the_stored_failure_of_the_back_end() {
-    let cluster = usual_cluster(PACE).await;
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     for engine in &cluster.engines {
         engine.set_fault(EngineFault::Fails, Some(1));
     }
-    let first = Keyed::default().send(&cluster, 0).await;
+    let first = IdempotentRequest::default().send(&cluster, 0).await;
     assert_eq!(first.status, 500);
     let stored = || async {
-        let repeated = again("r2").send(&cluster, 1).await;
+        let repeated = request_with_id("r2").send(&cluster, 1).await;
         (repeated.status == 500).then_some(repeated)
     };
     let repeated = eventually("the failure is stored", stored).await;
@@ -86,20 +86,23 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_different_request_with_the_key_is_refused() {
-    let cluster = usual_cluster(PACE).await;
-    assert_eq!(Keyed::default().send(&cluster, 0).await.status, 200);
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
+    assert_eq!(
+        IdempotentRequest::default().send(&cluster, 0).await.status,
+        200
+    );
     let others = [
-        Keyed {
+        IdempotentRequest {
             body: "another question",
-            ..Keyed::default()
+            ..IdempotentRequest::default()
         },
-        Keyed {
+        IdempotentRequest {
             path: "/once/other".to_owned(),
-            ..Keyed::default()
+            ..IdempotentRequest::default()
         },
-        Keyed {
+        IdempotentRequest {
             path: format!("{PATH}?y=1"),
-            ..Keyed::default()
+            ..IdempotentRequest::default()
         },
     ];
     for other in others {
@@ -121,7 +124,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn equal_keys_of_different_tenants_are_independent() {
-    let mut cluster = usual_cluster(PACE).await;
+    let mut cluster = usual_cluster(EVENT_INTERVAL).await;
     cluster.tenants = Some(json!([
         {"name": "north", "api_keys": ["north-secret"]},
         {"name": "south", "api_keys": ["south-secret"]},
@@ -135,7 +138,7 @@
     let mut answers = Vec::new();
     for (secret, id) in [("north-secret", "rn"), ("south-secret", "rs")] {
         cluster.api_key = Some(secret.to_owned());
-        answers.push(answered(&cluster, 0, id).await.text());
+        answers.push(send_until_answered(&cluster, 0, id).await.text());
     }
     assert_eq!(answers, ["answer to rn", "answer to rs"]);
     assert_eq!(runs_at(&cluster, PATH), 2);
@@ -143,19 +146,22 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_too_large_to_store_prevents_reruns() {
-    let cluster = usual_cluster(PACE).await;
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     // The back end's answer contains the id; a row of the table holds 4,096 bytes.
     let id: &'static str = "x".repeat(5_000).leak();
-    assert_eq!(again(id).send(&cluster, 0).await.status, 200);
+    assert_eq!(request_with_id(id).send(&cluster, 0).await.status, 200);
     tokio::time::sleep(Duration::from_millis(200)).await;
-    assert_code(&again("r2").send(&cluster, 1).await, KEY_IN_PROGRESS);
+    assert_code(
+        &request_with_id("r2").send(&cluster, 1).await,
+        KEY_IN_PROGRESS,
+    );
     assert_eq!(runs_at(&cluster, PATH), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_repeat_is_answered_after_its_route_was_renamed() {
-    let mut cluster = usual_cluster(PACE).await;
-    let first = again("r1").send(&cluster, 0).await;
+    let mut cluster = usual_cluster(EVENT_INTERVAL).await;
+    let first = request_with_id("r1").send(&cluster, 0).await;
     assert_eq!(first.status, 200);
     let mut routes = usual_routes();
     routes[1]["name"] = json!("renamed");
@@ -170,7 +176,7 @@
         (answer.status != 404).then_some(())
     })
     .await;
-    let repeat = again("r2").send(&cluster, 1).await;
+    let repeat = request_with_id("r2").send(&cluster, 1).await;
     assert_eq!(repeat.status, 200, "{}", repeat.text());
     assert_eq!(repeat.text(), first.text());
     assert_eq!(runs_at(&cluster, PATH), 1);
@@ -178,15 +184,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_non_resumable_stream_starts_once() {
-    let mut cluster = usual_cluster(PACE).await;
+    let mut cluster = usual_cluster(EVENT_INTERVAL).await;
     let mut routes = usual_routes();
     routes[2]["resumable"] = json!(false);
     cluster.configure(routes);
-    let series = |id| Keyed {
+    let series = |id| IdempotentRequest {
         id,
         path: "/events/x".to_owned(),
         body: "events=3",
-        ..Keyed::default()
+        ..IdempotentRequest::default()
     };
     let first = eventually("the route is in force", || async {
         let answer = series("r1").send(&cluster, 0).await;
@@ -201,11 +207,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn unkeyed_and_repeatable_requests_make_no_table_calls() {
-    let cluster = usual_cluster(PACE).await;
-    let repeatable = |path: &str, body| Keyed {
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
+    let repeatable = |path: &str, body| IdempotentRequest {
         path: path.to_owned(),
         body,
-        ..Keyed::default()
+        ..IdempotentRequest::default()
     };
     for _ in 0..10 {
         let answer = live(&cluster, 0, PATH, "r1").await.expect("an answer");
@@ -218,7 +224,7 @@
     let link = &cluster.nodes[0].link;
     assert_eq!(link.uses_of(CLAIMS), LinkUse::default());
     assert_eq!(link.uses_of(CLAIM_TIMES).writes, 0);
-    Keyed::default().send(&cluster, 0).await;
+    IdempotentRequest::default().send(&cluster, 0).await;
     let stored = || async { (link.uses_of(CLAIMS).writes == 2).then_some(()) };
     eventually("one write for the claim, one for the answer", stored).await;
     assert_eq!(link.uses_of(CLAIMS).reads, 0);
@@ -235,7 +241,7 @@
     let node = cluster.add_node("node-1").await;
     cluster.wait_ready(node).await;
     for id in ["r1", "r2"] {
-        let answer = again(id).send(&cluster, node).await;
+        let answer = request_with_id(id).send(&cluster, node).await;
         assert_eq!(answer.text(), format!("answer to {id}"));
         let mut headers = answer.headers.keys().map(HeaderName::as_str);
         assert!(!headers.any(|name| name.contains("configuration")));
@@ -249,11 +255,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_reaches_neither_back_ends_nor_rows() {
-    let cluster = usual_cluster(PACE).await;
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     for path in [PATH, "/live/x"] {
-        let keyed = Keyed {
+        let keyed = IdempotentRequest {
             path: path.to_owned(),
-            ..Keyed::default()
+            ..IdempotentRequest::default()
         };
         assert_eq!(keyed.send(&cluster, 0).await.status, 200);
     }
@@ -271,12 +277,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_keys_are_refused() {
-    let cluster = usual_cluster(PACE).await;
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     let too_long: &'static str = "k".repeat(201).leak();
     for key in ["", "two words", too_long] {
-        let keyed = Keyed {
+        let keyed = IdempotentRequest {
             key,
-            ..Keyed::default()
+            ..IdempotentRequest::default()
         };
         let answer = keyed.send(&cluster, 0).await;
         assert_eq!(answer.status, 400, "{key:?}");
@@ -288,23 +294,32 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn claims_are_deleted_only_after_their_retention() {
-    let cluster = usual_cluster(PACE).await;
-    assert_eq!(Keyed::default().send(&cluster, 0).await.status, 200);
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
+    assert_eq!(
+        IdempotentRequest::default().send(&cluster, 0).await.status,
+        200
+    );
     cluster.table.advance_clock(Duration::from_secs(86_000));
     tokio::time::sleep(Duration::from_secs(6)).await;
-    assert_eq!(answered(&cluster, 1, "r2").await.text(), "answer to r1");
+    assert_eq!(
+        send_until_answered(&cluster, 1, "r2").await.text(),
+        "answer to r1"
+    );
     cluster.table.advance_clock(Duration::from_secs(500));
     eventually("the claim is deleted", || async {
         let remaining = cluster.table.rows(CLAIMS).len() + cluster.table.rows(CLAIM_TIMES).len();
         (remaining == 0).then_some(())
     })
     .await;
-    assert_eq!(answered(&cluster, 1, "r3").await.text(), "answer to r3");
+    assert_eq!(
+        send_until_answered(&cluster, 1, "r3").await.text(),
+        "answer to r3"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_without_id_gets_a_generated_id() {
-    let cluster = usual_cluster(PACE).await;
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     let names = cluster.names();
     let mut ids = Vec::new();
     for (path, body) in [
@@ -328,7 +343,7 @@
     ids.dedup();
     assert_eq!(ids.len(), 3, "{ids:?}");
     for engine in &cluster.engines {
-        engine.set_fault(EngineFault::Crossed, None);
+        engine.set_fault(EngineFault::WrongRequestId, None);
     }
     let call = Call::new(Method::POST, HOST, "/once/crossed").body("question");
     let crossed = call.send(cluster.nodes[0].callers).await;
@@ -337,7 +352,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_batch_without_an_id_is_refused() {
-    let cluster = usual_cluster(PACE).await;
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     let call = Call::new(Method::POST, HOST, "/rollout/x").body("{}");
     let answer = call.send(cluster.nodes[0].callers).await;
     assert_code(&answer.expect("an answer"), 1003);
@@ -346,7 +361,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn each_answer_carries_its_configuration_version() {
-    let mut cluster = usual_cluster(PACE).await;
+    let mut cluster = usual_cluster(EVENT_INTERVAL).await;
     let names = cluster.names();
     let name = names.configuration_version.expect("a name");
     let version_of = |answer: &Answer| -> Option<u64> { answer.header(&name)?.parse().ok() };
--- a/crates/sloetrail-serving/tests/claims_under_failure.rs
+++ b/crates/sloetrail-serving/tests/claims_under_failure.rs
@@ -6,8 +6,9 @@
 use sloetrail_serving_testkit::cluster::{Cluster, eventually};
 use sloetrail_serving_testkit::engine::EngineFault;
 use sloetrail_serving_testkit::keyed::{
-    CLAIMS, KEY_IN_PROGRESS, Keyed, PACE, PATH, TABLE_UNAVAILABLE, again, answered, assert_code,
-    assert_not_run, claim_is_written, runs, runs_at,
+    CLAIMS, EVENT_INTERVAL, IdempotentRequest, KEY_IN_PROGRESS, PATH, TABLE_UNAVAILABLE,
+    assert_code, assert_not_run, request_with_id, runs_at, send_until_answered, wait_for_claim,
+    wait_until_running,
 };
 use sloetrail_serving_testkit::stopwatch::Stopwatch;
 use sloetrail_serving_testkit::table::{CommitFault, LinkUse};
@@ -21,17 +22,17 @@
 async fn a_claim_succeeds_although_its_answer_is_lost() {
     let faults = [
         CommitFault::DoneUnanswered,
-        CommitFault::LostOnTheWay,
+        CommitFault::RequestLost,
         CommitFault::DoneLate(Duration::from_millis(400)),
         CommitFault::Refused,
     ];
     for fault in faults {
-        let cluster = usual_cluster(PACE).await;
+        let cluster = usual_cluster(EVENT_INTERVAL).await;
         cluster.table.set_commit_fault_on(CLAIMS, fault, 1);
-        let answer = Keyed::default().send(&cluster, 0).await;
+        let answer = IdempotentRequest::default().send(&cluster, 0).await;
         assert_eq!(answer.status, 200, "{fault:?}: {}", answer.text());
         tokio::time::sleep(Duration::from_millis(500)).await;
-        let repeated = answered(&cluster, 1, "r2").await;
+        let repeated = send_until_answered(&cluster, 1, "r2").await;
         assert_eq!(repeated.body, answer.body, "{fault:?}");
         assert_eq!(runs_at(&cluster, PATH), 1, "{fault:?}");
     }
@@ -42,16 +43,16 @@
     let faults = [
         CommitFault::DoneUnanswered,
         CommitFault::DoneLate(Duration::from_millis(600)),
-        CommitFault::LostOnTheWay,
+        CommitFault::RequestLost,
         CommitFault::Refused,
     ];
     for fault in faults {
-        let cluster = usual_cluster(PACE).await;
+        let cluster = usual_cluster(EVENT_INTERVAL).await;
         cluster.table.set_commit_fault_on(CLAIMS, fault, 1_000);
         for node in &cluster.nodes {
             node.link.set_answer_time(Duration::from_millis(300));
         }
-        let answer = Keyed::default().send(&cluster, 0).await;
+        let answer = IdempotentRequest::default().send(&cluster, 0).await;
         assert_not_run(&answer, TABLE_UNAVAILABLE);
         assert!(answer.headers.contains_key("retry-after"), "{fault:?}");
         assert_eq!(runs_at(&cluster, PATH), 0, "{fault:?}");
@@ -59,48 +60,48 @@
         for node in &cluster.nodes {
             node.link.set_answer_time(Duration::from_millis(1));
         }
-        answered(&cluster, 1, "r2").await;
+        send_until_answered(&cluster, 1, "r2").await;
         assert_eq!(runs_at(&cluster, PATH), 1, "{fault:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_table_outage_refuses_only_keyed_requests() {
-    let cluster = usual_cluster(PACE).await;
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     cluster.table.set_down(true);
-    let refused = Keyed::default().send(&cluster, 0).await;
+    let refused = IdempotentRequest::default().send(&cluster, 0).await;
     assert_eq!(refused.status, 503);
     assert_not_run(&refused, TABLE_UNAVAILABLE);
     assert!(refused.headers.contains_key("retry-after"));
     let unkeyed = live(&cluster, 0, "/once/unkeyed", "r2").await;
     assert_eq!(unkeyed.expect("an answer").status, 200);
-    let repeatable = Keyed {
+    let repeatable = IdempotentRequest {
         path: "/live/x".to_owned(),
-        ..Keyed::default()
+        ..IdempotentRequest::default()
     };
     assert_eq!(repeatable.send(&cluster, 0).await.status, 200);
     assert_eq!(runs_at(&cluster, PATH), 0);
     cluster.table.set_down(false);
-    answered(&cluster, 0, "r3").await;
+    send_until_answered(&cluster, 0, "r3").await;
     assert_eq!(runs_at(&cluster, PATH), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_crash_before_sending_leaves_the_key_claimed() {
-    let mut cluster = usual_cluster(PACE).await;
+    let mut cluster = usual_cluster(EVENT_INTERVAL).await;
     // The claim is written but its answer is lost, so nothing can have been sent.
     cluster
         .table
         .set_commit_fault_on(CLAIMS, CommitFault::DoneUnanswered, 1);
-    let call = Keyed::default().call(&cluster);
+    let call = IdempotentRequest::default().call(&cluster);
     let address = cluster.nodes[0].callers;
     let sent = tokio::spawn(async move { call.send(address).await });
-    claim_is_written(&cluster).await;
+    wait_for_claim(&cluster).await;
     cluster.nodes[0].kill();
     assert!(sent.await.expect("no panic").is_none(), "no answer came");
     // Repeats until after the request's deadline of two seconds.
     for _ in 0..4 {
-        let repeated = again("r2").send(&cluster, 1).await;
+        let repeated = request_with_id("r2").send(&cluster, 1).await;
         assert_code(&repeated, KEY_IN_PROGRESS);
         assert_eq!(repeated.json()["kind"], "outcome_unknown");
         tokio::time::sleep(Duration::from_millis(900)).await;
@@ -110,19 +111,19 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_crash_after_sending_leaves_an_unknown_outcome() {
-    let mut cluster = usual_cluster(PACE).await;
+    let mut cluster = usual_cluster(EVENT_INTERVAL).await;
     for engine in &cluster.engines {
-        engine.set_pace(Duration::from_millis(300));
+        engine.set_event_interval(Duration::from_millis(300));
     }
-    let call = Keyed::default().call(&cluster);
+    let call = IdempotentRequest::default().call(&cluster);
     let address = cluster.nodes[0].callers;
     let sent = tokio::spawn(async move { call.send(address).await });
-    runs(&cluster).await;
+    wait_until_running(&cluster).await;
     cluster.nodes[0].kill();
     assert!(sent.await.expect("no panic").is_none(), "no answer came");
     // Repeats until after the request's deadline of two seconds.
     for _ in 0..4 {
-        let repeated = again("r2").send(&cluster, 1).await;
+        let repeated = request_with_id("r2").send(&cluster, 1).await;
         assert_code(&repeated, KEY_IN_PROGRESS);
         tokio::time::sleep(Duration::from_millis(900)).await;
     }
@@ -131,21 +132,24 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_crash_before_storing_the_answer_prevents_reruns() {
-    let mut cluster = usual_cluster(PACE).await;
+    let mut cluster = usual_cluster(EVENT_INTERVAL).await;
     for engine in &cluster.engines {
-        engine.set_pace(Duration::from_millis(200));
+        engine.set_event_interval(Duration::from_millis(200));
     }
-    let call = Keyed::default().call(&cluster);
+    let call = IdempotentRequest::default().call(&cluster);
     let address = cluster.nodes[0].callers;
     let sent = tokio::spawn(async move { call.send(address).await });
-    runs(&cluster).await;
-    let lost = CommitFault::LostOnTheWay;
+    wait_until_running(&cluster).await;
+    let lost = CommitFault::RequestLost;
     cluster.table.set_commit_fault_on(CLAIMS, lost, 1_000);
     let answer = sent.await.expect("no panic").expect("an answer");
     assert_eq!(answer.status, 200);
     cluster.nodes[0].kill();
     cluster.table.set_commit_fault(CommitFault::None, None);
-    assert_code(&again("r2").send(&cluster, 1).await, KEY_IN_PROGRESS);
+    assert_code(
+        &request_with_id("r2").send(&cluster, 1).await,
+        KEY_IN_PROGRESS,
+    );
     assert_eq!(runs_at(&cluster, PATH), 1);
 }
 
@@ -153,23 +157,23 @@
 async fn an_answer_is_stored_despite_lost_table_answers() {
     let faults = [
         CommitFault::DoneUnanswered,
-        CommitFault::LostOnTheWay,
+        CommitFault::RequestLost,
         CommitFault::Refused,
         CommitFault::DoneLate(Duration::from_millis(400)),
     ];
     for fault in faults {
-        let cluster = usual_cluster(PACE).await;
+        let cluster = usual_cluster(EVENT_INTERVAL).await;
         for engine in &cluster.engines {
-            engine.set_pace(Duration::from_millis(200));
+            engine.set_event_interval(Duration::from_millis(200));
         }
-        let call = Keyed::default().call(&cluster);
+        let call = IdempotentRequest::default().call(&cluster);
         let address = cluster.nodes[0].callers;
         let sent = tokio::spawn(async move { call.send(address).await });
-        runs(&cluster).await;
+        wait_until_running(&cluster).await;
         cluster.table.set_commit_fault_on(CLAIMS, fault, 1);
         let answer = sent.await.expect("no panic").expect("an answer");
         assert_eq!(answer.status, 200, "{fault:?}");
-        let repeated = answered(&cluster, 1, "r2").await;
+        let repeated = send_until_answered(&cluster, 1, "r2").await;
         assert_eq!(repeated.body, answer.body, "{fault:?}");
         assert_eq!(runs_at(&cluster, PATH), 1, "{fault:?}");
     }
@@ -177,14 +181,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopping_node_stores_the_answers_it_gave() {
-    let mut cluster = usual_cluster(PACE).await;
+    let mut cluster = usual_cluster(EVENT_INTERVAL).await;
     for engine in &cluster.engines {
-        engine.set_pace(Duration::from_millis(300));
+        engine.set_event_interval(Duration::from_millis(300));
     }
-    let call = Keyed::default().call(&cluster);
+    let call = IdempotentRequest::default().call(&cluster);
     let address = cluster.nodes[0].callers;
     let sent = tokio::spawn(async move { call.send(address).await });
-    runs(&cluster).await;
+    wait_until_running(&cluster).await;
     let refused = CommitFault::Refused;
     cluster.table.set_commit_fault_on(CLAIMS, refused, 1_000);
     cluster.nodes[0].stop();
@@ -199,42 +203,45 @@
         cluster.nodes[0].has_ended().then_some(())
     })
     .await;
-    let repeated = again("r2").send(&cluster, 1).await;
+    let repeated = request_with_id("r2").send(&cluster, 1).await;
     assert_eq!(repeated.text(), "answer to r1");
     assert_eq!(runs_at(&cluster, PATH), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_of_a_request_not_run_is_reusable() {
-    let cluster = usual_cluster(PACE).await;
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     for engine in &cluster.engines {
         engine.set_fault(EngineFault::Refuses, None);
     }
-    let refused = Keyed::default().send(&cluster, 0).await;
+    let refused = IdempotentRequest::default().send(&cluster, 0).await;
     assert_eq!(refused.json()["kind"], "not_run", "{}", refused.text());
     for engine in &cluster.engines {
         engine.set_fault(EngineFault::None, None);
     }
-    answered(&cluster, 1, "r2").await;
+    send_until_answered(&cluster, 1, "r2").await;
     assert_eq!(runs_at(&cluster, PATH), 1);
-    let repeated = answered(&cluster, 0, "r3").await;
+    let repeated = send_until_answered(&cluster, 0, "r3").await;
     assert_eq!(repeated.text(), "answer to r2");
     assert_eq!(runs_at(&cluster, PATH), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn repeats_of_an_unknown_outcome_are_refused() {
-    for fault in [EngineFault::AnswerLost, EngineFault::Crossed] {
-        let cluster = usual_cluster(PACE).await;
+    for fault in [EngineFault::AnswerLost, EngineFault::WrongRequestId] {
+        let cluster = usual_cluster(EVENT_INTERVAL).await;
         for engine in &cluster.engines {
             engine.set_fault(fault, None);
         }
-        let first = Keyed::default().send(&cluster, 0).await;
+        let first = IdempotentRequest::default().send(&cluster, 0).await;
         assert_eq!(first.json()["kind"], "outcome_unknown", "{fault:?}");
         for engine in &cluster.engines {
             engine.set_fault(EngineFault::None, None);
         }
-        assert_code(&again("r2").send(&cluster, 1).await, KEY_IN_PROGRESS);
+        assert_code(
+            &request_with_id("r2").send(&cluster, 1).await,
+            KEY_IN_PROGRESS,
+        );
         assert_eq!(runs_at(&cluster, PATH), 1, "{fault:?}");
     }
 }
@@ -263,16 +270,16 @@
     // Nodes read the rows of other nodes every few seconds.
     tokio::time::sleep(Duration::from_millis(5_500)).await;
     cluster.nodes[0].link.set_cut(true);
-    answered(&cluster, 0, "r1").await;
+    send_until_answered(&cluster, 0, "r1").await;
     assert!(cluster.nodes[1].link.uses_of(CLAIMS).writes > 0);
     cluster.nodes[1].kill();
     // By then the remaining node relays calls that may leave the region.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     for path in ["/once/a", "/once/b", "/once/c"] {
-        let other = Keyed {
+        let other = IdempotentRequest {
             key: path,
             path: path.to_owned(),
-            ..Keyed::default()
+            ..IdempotentRequest::default()
         };
         let watch = Stopwatch::start();
         let refused = other.send(&cluster, 0).await;
@@ -293,10 +300,10 @@
 
 /// Sends the usual call to the first node and disconnects after this time.
 async fn call_and_disconnect(cluster: &Cluster, after: Duration) {
-    send_and_disconnect(cluster, &Keyed::default(), after).await;
+    send_and_disconnect(cluster, &IdempotentRequest::default(), after).await;
 }
 
-async fn send_and_disconnect(cluster: &Cluster, keyed: &Keyed, after: Duration) {
+async fn send_and_disconnect(cluster: &Cluster, keyed: &IdempotentRequest, after: Duration) {
     let call = keyed.call(cluster);
     let sending = call.send(cluster.nodes[0].callers);
     let answer = tokio::time::timeout(after, sending).await;
@@ -305,27 +312,27 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_disconnect_before_sending_releases_the_key() {
-    let cluster = usual_cluster(PACE).await;
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     let slow = CommitFault::Slow(Duration::from_millis(500));
     cluster.table.set_commit_fault_on(CLAIMS, slow, 1);
     call_and_disconnect(&cluster, Duration::from_millis(150)).await;
-    claim_is_written(&cluster).await;
-    answered(&cluster, 1, "r2").await;
+    wait_for_claim(&cluster).await;
+    send_until_answered(&cluster, 1, "r2").await;
     assert_eq!(runs_at(&cluster, PATH), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_disconnect_after_refused_attempts_releases_the_key() {
-    let cluster = usual_cluster(PACE).await;
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     for engine in &cluster.engines {
         engine.set_fault(EngineFault::Refuses, None);
     }
     // Some callers disconnect while another attempt is in flight, which may have run.
     let keys = ["k0", "k1", "k2", "k3", "k4", "k5", "k6", "k7", "k8", "k9"];
-    let keyed = keys.map(|key| Keyed {
+    let keyed = keys.map(|key| IdempotentRequest {
         key,
         path: format!("/once/{key}"),
-        ..again("r2")
+        ..request_with_id("r2")
     });
     for first in &keyed {
         // After an immediate refusal the request waits at least 115 ms for a slot.
@@ -350,17 +357,20 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_disconnect_while_running_prevents_reruns() {
-    let cluster = usual_cluster(PACE).await;
+    let cluster = usual_cluster(EVENT_INTERVAL).await;
     for engine in &cluster.engines {
-        engine.set_pace(Duration::from_secs(5));
+        engine.set_event_interval(Duration::from_secs(5));
     }
     call_and_disconnect(&cluster, Duration::from_millis(400)).await;
     assert_eq!(runs_at(&cluster, PATH), 1);
     for engine in &cluster.engines {
-        engine.set_pace(PACE);
+        engine.set_event_interval(EVENT_INTERVAL);
     }
     for node in [0, 1] {
-        assert_code(&again("r2").send(&cluster, node).await, KEY_IN_PROGRESS);
+        assert_code(
+            &request_with_id("r2").send(&cluster, node).await,
+            KEY_IN_PROGRESS,
+        );
     }
     assert_eq!(runs_at(&cluster, PATH), 1);
 }
--- a/crates/sloetrail-serving/tests/cold.rs
+++ b/crates/sloetrail-serving/tests/cold.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use sloetrail_serving_testkit::cluster::{Cluster, eventually, usual_routes};
-use sloetrail_serving_testkit::engine::{EngineFault, EngineStandIn};
+use sloetrail_serving_testkit::engine::{EngineFault, FakeEngine};
 use sloetrail_serving_testkit::table::CommitFault;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,7 +20,7 @@
 const EVENT_INTERVAL: Duration = Duration::from_millis(2);
 
 /// A cluster with one engine whose nodes apply the bounds for cold back ends.
-async fn cluster_of_one_engine(nodes: usize) -> (Cluster, Arc<EngineStandIn>) {
+async fn cluster_of_one_engine(nodes: usize) -> (Cluster, Arc<FakeEngine>) {
     let mut cluster = cold_cluster();
     cluster.add_application("zone-a").await;
     let engine = cluster.add_engine(EVENT_INTERVAL).await;
@@ -39,7 +39,7 @@
     cluster
 }
 
-async fn wait_for_arrivals(engine: &EngineStandIn, count: usize) {
+async fn wait_for_arrivals(engine: &FakeEngine, count: usize) {
     let have_arrived = || async { (engine.arrivals().len() >= count).then_some(()) };
     eventually("items reach the engine", have_arrived).await;
 }
@@ -112,7 +112,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn repeated_run_requests_count_as_sends() {
     let (cluster, engine) = cluster_of_one_engine(1).await;
-    engine.set_pace(Duration::from_millis(50));
+    engine.set_event_interval(Duration::from_millis(50));
     submit_items(&cluster, 0, "b1", MAX_PER_SENDER, 2).await;
     cluster.wait_results(0, "b1", MAX_PER_SENDER).await;
     let measured_from = Instant::now();
@@ -163,7 +163,7 @@
     let application = cluster.add_application("zone-a").await;
     application.set_cold(Duration::from_secs(60));
     cluster.list(&application);
-    let lost = CommitFault::LostOnTheWay;
+    let lost = CommitFault::RequestLost;
     cluster
         .table
         .set_commit_fault_on("sloetrail_nodes", lost, usize::MAX);
--- a/crates/sloetrail-serving/tests/configuration.rs
+++ b/crates/sloetrail-serving/tests/configuration.rs
@@ -162,7 +162,7 @@
     wait_status(&cluster, 0, "/slow/x", 200).await;
     // Longer than the node goes on taking connections.
     for engine in &cluster.engines {
-        engine.set_pace(Duration::from_millis(2_900));
+        engine.set_event_interval(Duration::from_millis(2_900));
     }
     let address = cluster.nodes[0].callers;
     let names = cluster.names();
--- a/crates/sloetrail-serving/tests/connection_costs.rs
+++ b/crates/sloetrail-serving/tests/connection_costs.rs
@@ -3,10 +3,10 @@
 mod support;
 
 use futures_util::future::join_all;
+use sloetrail_serving_testkit::blackhole_proxy::BlackholeProxy;
 use sloetrail_serving_testkit::client::{batch, with_reward};
 use sloetrail_serving_testkit::cluster::{APPLICATION, Cluster, HOST, MODEL, MODELS};
-use sloetrail_serving_testkit::engine::{EngineFault, EngineStandIn};
-use sloetrail_serving_testkit::silencing_proxy::SilencingProxy;
+use sloetrail_serving_testkit::engine::{EngineFault, FakeEngine};
 use sloetrail_serving_testkit::wire::NativeWire;
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,8 +18,8 @@
 /// A node, two applications and an engine, all reached through proxies that count.
 struct Counted {
     cluster: Cluster,
-    applications: Vec<Arc<EngineStandIn>>,
-    proxies: Vec<Arc<SilencingProxy>>,
+    applications: Vec<Arc<FakeEngine>>,
+    proxies: Vec<Arc<BlackholeProxy>>,
 }
 
 impl Counted {
@@ -33,8 +33,8 @@
             (MODELS, &[MODEL][..]),
         ] {
             let wire = Arc::new(NativeWire);
-            let back_end = EngineStandIn::start(wire, service, "zone-a", models, pace).await;
-            let proxy = SilencingProxy::start(back_end.address()).await;
+            let back_end = FakeEngine::start(wire, service, "zone-a", models, pace).await;
+            let proxy = BlackholeProxy::start(back_end.address()).await;
             back_end.set_listed_address(proxy.address);
             cluster.list(&back_end);
             proxies.push(proxy);
@@ -154,7 +154,7 @@
     for number in 0..REQUESTS {
         for (place, application) in counted.applications.iter().enumerate() {
             let is_slow = number % 2 == place;
-            application.set_pace(Duration::from_millis(if is_slow { 150 } else { 5 }));
+            application.set_event_interval(Duration::from_millis(if is_slow { 150 } else { 5 }));
         }
         counted.request(format!("r{number}")).await;
     }
--- a/crates/sloetrail-serving/tests/crash_log.rs
+++ b/crates/sloetrail-serving/tests/crash_log.rs
@@ -31,7 +31,7 @@
     events::start_with(LevelFilter::Debug, "node-1", reader.clone()).expect("starts");
     let mut cluster = native_cluster();
     let application = cluster.add_application("zone-a").await;
-    application.set_pace(Duration::from_millis(300));
+    application.set_event_interval(Duration::from_millis(300));
     let node = cluster.add_node("node-1").await;
     cluster.wait_ready(node).await;
 
--- a/crates/sloetrail-serving/tests/crashing_items.rs
+++ b/crates/sloetrail-serving/tests/crashing_items.rs
@@ -16,7 +16,7 @@
 
 async fn add_engine(cluster: &mut Cluster) {
     let engine = cluster.add_engine(PACE).await;
-    engine.set_lethal(format!("events={LETHAL_EVENTS}"));
+    engine.set_crash_body(format!("events={LETHAL_EVENTS}"));
 }
 
 async fn fragile_cluster() -> Cluster {
@@ -48,7 +48,7 @@
             match engine.service.as_str() {
                 "application" => {
                     let application = cluster.add_application("zone-a").await;
-                    application.set_lethal("score");
+                    application.set_crash_body("score");
                 }
                 _ => add_engine(cluster).await,
             }
@@ -112,7 +112,7 @@
     let mut cluster = native_cluster();
     for _ in 0..3 {
         let application = cluster.add_application("zone-a").await;
-        application.set_lethal("score");
+        application.set_crash_body("score");
     }
     cluster.add_engine(PACE).await;
     for name in ["node-1", "node-2"] {
--- a/crates/sloetrail-serving/tests/crashing_requests.rs
+++ b/crates/sloetrail-serving/tests/crashing_requests.rs
@@ -110,7 +110,7 @@
             .filter(|engine| !engine.has_crashed())
             .collect();
         for engine in &sound {
-            engine.set_pace(Duration::from_millis(60));
+            engine.set_event_interval(Duration::from_millis(60));
         }
         let asking = (0..8).map(|number| {
             let id = format!("sound-{round}-{number}");
@@ -138,7 +138,7 @@
             break;
         }
         let engines = fragile.cluster.engines.iter();
-        engines.for_each(|engine| engine.set_pace(Duration::from_millis(40)));
+        engines.for_each(|engine| engine.set_event_interval(Duration::from_millis(40)));
         let id = format!("leaves-{number}");
         let asking = fragile.sending(0, "/once/x", &id, LETHAL);
         let left = tokio::time::timeout(Duration::from_millis(20), asking).await;
--- a/crates/sloetrail-serving/tests/evacuation.rs
+++ b/crates/sloetrail-serving/tests/evacuation.rs
@@ -6,7 +6,7 @@
 use http::Method;
 use sloetrail_serving_testkit::client::Call;
 use sloetrail_serving_testkit::cluster::{Cluster, HOST, MODEL, eventually, usual_routes};
-use sloetrail_serving_testkit::engine::{EngineFault, EngineStandIn};
+use sloetrail_serving_testkit::engine::{EngineFault, FakeEngine};
 use sloetrail_serving_testkit::stopwatch::Stopwatch;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -25,8 +25,8 @@
 
 /// Back ends of one zone.
 struct Zone {
-    application: Arc<EngineStandIn>,
-    engine: Arc<EngineStandIn>,
+    application: Arc<FakeEngine>,
+    engine: Arc<FakeEngine>,
 }
 
 impl Zone {
@@ -60,7 +60,7 @@
 }
 
 /// Waits until so many items run at an engine at least.
-async fn wait_running(engine: &EngineStandIn, count: usize) {
+async fn wait_running(engine: &FakeEngine, count: usize) {
     let is_busy = || async { (engine.runs().len() >= count).then_some(()) };
     eventually("items run there", is_busy).await;
 }
--- a/crates/sloetrail-serving/tests/frozen_while_connecting.rs
+++ b/crates/sloetrail-serving/tests/frozen_while_connecting.rs
@@ -10,7 +10,7 @@
 use sloetrail_serving_testkit::client::{Answer, Call, batch};
 use sloetrail_serving_testkit::cluster::{APPLICATION, Cluster, HOST, MODEL, MODELS, eventually};
 use sloetrail_serving_testkit::congested_proxy::CongestedProxy;
-use sloetrail_serving_testkit::engine::{EngineFault, EngineStandIn};
+use sloetrail_serving_testkit::engine::{EngineFault, FakeEngine};
 use sloetrail_serving_testkit::wire::NativeWire;
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 
 /// A back end to which connecting takes until it is let through.
 struct Congested {
-    back_end: Arc<EngineStandIn>,
+    back_end: Arc<FakeEngine>,
     proxy: Arc<CongestedProxy>,
 }
 
@@ -41,7 +41,7 @@
             _ => &[],
         };
         let wire = Arc::new(NativeWire);
-        let back_end = EngineStandIn::start(wire, service, zone, models, PACE).await;
+        let back_end = FakeEngine::start(wire, service, zone, models, PACE).await;
         let proxy = CongestedProxy::start(back_end.address()).await;
         back_end.set_listed_address(proxy.address);
         cluster.list(&back_end);
@@ -64,7 +64,7 @@
 }
 
 impl Change {
-    fn make(self, cluster: &Cluster, back_end: &EngineStandIn) {
+    fn make(self, cluster: &Cluster, back_end: &FakeEngine) {
         match self {
             Change::Evacuated => cluster.evacuate(&back_end.zone),
             Change::Leaving => {
--- a/crates/sloetrail-serving/tests/live.rs
+++ b/crates/sloetrail-serving/tests/live.rs
@@ -5,7 +5,7 @@
 
 use sloetrail_serving_testkit::client::Call;
 use sloetrail_serving_testkit::cluster::{Cluster, HOST, count_ids, eventually};
-use sloetrail_serving_testkit::engine::{EngineFault, EngineStandIn};
+use sloetrail_serving_testkit::engine::{EngineFault, FakeEngine};
 use sloetrail_serving_testkit::stopwatch::Stopwatch;
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 const PACE: Duration = Duration::from_millis(5);
 
-async fn cluster_with(applications: usize) -> (Cluster, Vec<Arc<EngineStandIn>>) {
+async fn cluster_with(applications: usize) -> (Cluster, Vec<Arc<FakeEngine>>) {
     let mut cluster = native_cluster();
     let mut started = Vec::new();
     for _ in 0..applications {
@@ -25,7 +25,7 @@
     (cluster, started)
 }
 
-fn runs_of(applications: &[Arc<EngineStandIn>], id: &str) -> usize {
+fn runs_of(applications: &[Arc<FakeEngine>], id: &str) -> usize {
     let runs = applications
         .iter()
         .flat_map(|application| application.runs());
@@ -34,7 +34,7 @@
 
 /// The application that the node prefers while it has little to do: what is harmed must
 /// be what its requests meet.
-async fn preferred(cluster: &Cluster, applications: &[Arc<EngineStandIn>]) -> Arc<EngineStandIn> {
+async fn preferred(cluster: &Cluster, applications: &[Arc<FakeEngine>]) -> Arc<FakeEngine> {
     let id = "which";
     live(cluster, 0, "/live/x", id).await.expect("an answer");
     let mut applications = applications.iter();
@@ -75,7 +75,7 @@
 async fn a_repeatable_request_goes_to_another_back_end_when_one_fails() {
     let faults = [
         EngineFault::AnswerLost,
-        EngineFault::Crossed,
+        EngineFault::WrongRequestId,
         EngineFault::Fails,
         EngineFault::Overloaded,
         EngineFault::Silent,
@@ -100,7 +100,7 @@
 async fn a_request_that_may_not_repeat_runs_at_most_once_and_not_run_is_true() {
     let faults = [
         EngineFault::AnswerLost,
-        EngineFault::Crossed,
+        EngineFault::WrongRequestId,
         EngineFault::Fails,
         EngineFault::Overloaded,
         EngineFault::Refuses,
@@ -151,7 +151,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn work_for_a_caller_that_left_is_closed() {
     let (cluster, applications) = cluster_with(1).await;
-    applications[0].set_pace(Duration::from_secs(5));
+    applications[0].set_event_interval(Duration::from_secs(5));
     let names = cluster.names();
     let call = Call::new(http::Method::POST, HOST, "/live/x").header(&names.request_id, "r1");
     let address = cluster.nodes[0].callers;
@@ -179,7 +179,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn shares_of_a_split_route_are_met() {
     let (mut cluster, _applications) = cluster_with(1).await;
-    let other = EngineStandIn::start(
+    let other = FakeEngine::start(
         Arc::new(sloetrail_serving_testkit::wire::NativeWire),
         "other",
         "zone-a",
@@ -229,7 +229,7 @@
     let gone = preferred(&cluster, &applications).await;
     gone.crash();
     tokio::time::sleep(Duration::from_millis(50)).await;
-    let newcomer = EngineStandIn::start_at(
+    let newcomer = FakeEngine::start_at(
         gone.address(),
         Arc::new(sloetrail_serving_testkit::wire::NativeWire),
         "other",
@@ -251,7 +251,7 @@
     let mut cluster = native_cluster();
     cluster.body_budget_bytes = Some(500_000);
     let application = cluster.add_application("zone-a").await;
-    application.set_pace(Duration::from_millis(400));
+    application.set_event_interval(Duration::from_millis(400));
     cluster.add_engine(PACE).await;
     let node = cluster.add_node("node-1").await;
     cluster.wait_ready(node).await;
@@ -296,7 +296,7 @@
     let (cluster, applications) = cluster_with(2).await;
     for application in &applications {
         // Longer than a second back end is waited for (70 ms of the target's 200).
-        application.set_pace(Duration::from_millis(120));
+        application.set_event_interval(Duration::from_millis(120));
     }
     let cluster = Arc::new(cluster);
     let calling = (0..CALLERS).map(|caller| {
@@ -330,7 +330,7 @@
 }
 
 /// Loses every application so often that it is left alone for a while.
-async fn lose_all(cluster: &Cluster, applications: &[Arc<EngineStandIn>]) {
+async fn lose_all(cluster: &Cluster, applications: &[Arc<FakeEngine>]) {
     for application in applications {
         application.crash();
     }
@@ -376,7 +376,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_place_that_comes_free_soon_is_waited_for() {
     let (cluster, applications) = cluster_with(1).await;
-    applications[0].set_pace(Duration::from_millis(60));
+    applications[0].set_event_interval(Duration::from_millis(60));
     for number in 0..4 {
         live(&cluster, 0, "/once/x", &format!("r{number}")).await;
     }
--- a/crates/sloetrail-serving/tests/owner.rs
+++ b/crates/sloetrail-serving/tests/owner.rs
@@ -70,7 +70,7 @@
         .table
         .set_commit_fault_on("sloetrail_order_windows", fault, 1);
     cluster.publish(2);
-    let is_requested = || async { (cluster.table.faults_left() == Some(0)).then_some(()) };
+    let is_requested = || async { (cluster.table.remaining_faults() == Some(0)).then_some(()) };
     eventually("an order window is requested", is_requested).await;
     let watch = Stopwatch::start();
     cluster
@@ -295,7 +295,7 @@
         .submit(other, "b1", &batch(&items(12, 10), MODEL, 1))
         .await
         .expect("taken");
-    let is_in_flight = || async { (cluster.table.faults_left() == Some(0)).then_some(()) };
+    let is_in_flight = || async { (cluster.table.remaining_faults() == Some(0)).then_some(()) };
     eventually("a commit is in flight", is_in_flight).await;
     cluster.nodes[owner].kill();
     // The next owner's results differ from those still in flight.
@@ -322,13 +322,13 @@
     };
     let before = lease();
     for node in &cluster.nodes {
-        node.link.set_held(true);
+        node.link.set_blocked(true);
     }
     tokio::time::sleep(Duration::from_millis(3_000)).await;
     // The other node reaches the table again shortly before the owner can renew.
-    cluster.nodes[1 - owner].link.set_held(false);
+    cluster.nodes[1 - owner].link.set_blocked(false);
     tokio::time::sleep(Duration::from_millis(250)).await;
-    cluster.nodes[owner].link.set_held(false);
+    cluster.nodes[owner].link.set_blocked(false);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     assert_eq!(
         lease(),
--- a/crates/sloetrail-serving/tests/quarantine_under_failure.rs
+++ b/crates/sloetrail-serving/tests/quarantine_under_failure.rs
@@ -84,7 +84,7 @@
 async fn lost_late_and_slow_answers_of_the_table_lose_no_crash() {
     let faults = [
         CommitFault::DoneUnanswered,
-        CommitFault::LostOnTheWay,
+        CommitFault::RequestLost,
         CommitFault::Refused,
         CommitFault::DoneLate(Duration::from_millis(300)),
         CommitFault::Slow(Duration::from_millis(150)),
@@ -150,7 +150,7 @@
         assert_eq!(answer.status, status);
     }
     let engines = fragile.cluster.engines.iter();
-    engines.for_each(|engine| engine.set_lethal("nothing any more"));
+    engines.for_each(|engine| engine.set_crash_body("nothing any more"));
     for node in 0..2 {
         let is_served = || async {
             let answer = fragile.ask(node, "/live/x", "let go", LETHAL).await;
@@ -179,7 +179,7 @@
 
     fragile.release_software("v3").await;
     let engines = fragile.cluster.engines.iter();
-    engines.for_each(|engine| engine.set_lethal("nothing any more"));
+    engines.for_each(|engine| engine.set_crash_body("nothing any more"));
     tokio::time::sleep(Duration::from_millis(2_200)).await;
     let is_served = || async {
         let answer = fragile.ask(1, "/live/x", "v3", LETHAL).await;
--- a/crates/sloetrail-serving/tests/regions.rs
+++ b/crates/sloetrail-serving/tests/regions.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use sloetrail_serving_testkit::client::{Answer, batch, with_reward};
 use sloetrail_serving_testkit::cluster::{Cluster, HOST, MODEL, eventually, usual_routes};
-use sloetrail_serving_testkit::engine::{EngineFault, EngineStandIn};
+use sloetrail_serving_testkit::engine::{EngineFault, FakeEngine};
 use sloetrail_serving_testkit::stopwatch::Stopwatch;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -67,7 +67,7 @@
     }
 }
 
-fn back_end(cluster: &Cluster, service: &str, zone: &str) -> Arc<EngineStandIn> {
+fn back_end(cluster: &Cluster, service: &str, zone: &str) -> Arc<FakeEngine> {
     let mut back_ends = cluster.engines.iter();
     let found = back_ends.find(|engine| engine.service == service && engine.zone == zone);
     Arc::clone(found.expect("one in each zone"))
@@ -253,7 +253,10 @@
             .header(&names.deadline_ms, "1500")
             .body("question");
         let watch = Stopwatch::start();
-        let answer = cluster.keyed(call).send(cluster.nodes[0].callers).await;
+        let answer = cluster
+            .with_api_key(call)
+            .send(cluster.nodes[0].callers)
+            .await;
         assert_refused_at_once(&answer.expect("an answer"), &watch, ALLOWED_NOWHERE);
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
--- a/crates/sloetrail-serving/tests/scoring.rs
+++ b/crates/sloetrail-serving/tests/scoring.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use sloetrail_serving_testkit::client::{batch, with_reward};
 use sloetrail_serving_testkit::cluster::{Cluster, HOST, MODEL};
-use sloetrail_serving_testkit::engine::{EngineFault, EngineStandIn};
+use sloetrail_serving_testkit::engine::{EngineFault, FakeEngine};
 use std::sync::Arc;
 use std::time::Duration;
 use support::{items, live, native_cluster};
@@ -15,10 +15,10 @@
 /// Slots that one node may use at one application.
 const SLOTS: usize = 8;
 
-async fn cluster_with_one_application(event_interval: Duration) -> (Cluster, Arc<EngineStandIn>) {
+async fn cluster_with_one_application(event_interval: Duration) -> (Cluster, Arc<FakeEngine>) {
     let mut cluster = native_cluster();
     let application = cluster.add_application("zone-a").await;
-    application.set_pace(event_interval);
+    application.set_event_interval(event_interval);
     cluster.add_engine(TEXT_EVENT_INTERVAL).await;
     let node = cluster.add_node("node-1").await;
     cluster.wait_ready(node).await;
--- a/crates/sloetrail-serving/tests/segments.rs
+++ b/crates/sloetrail-serving/tests/segments.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use sloetrail_serving_testkit::client::batch;
 use sloetrail_serving_testkit::cluster::{Cluster, MODEL, eventually};
-use sloetrail_serving_testkit::engine::{EngineStandIn, EventRecord};
+use sloetrail_serving_testkit::engine::{EventRecord, FakeEngine};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -91,7 +91,7 @@
     eventually("checkpoints are written", are_written).await;
 }
 
-fn model_engines(cluster: &Cluster) -> Vec<Arc<EngineStandIn>> {
+fn model_engines(cluster: &Cluster) -> Vec<Arc<FakeEngine>> {
     let engines = cluster.engines.iter();
     let of_models = engines.filter(|engine| engine.service == "models");
     of_models.cloned().collect()
--- a/crates/sloetrail-serving/tests/silent_connections.rs
+++ b/crates/sloetrail-serving/tests/silent_connections.rs
@@ -5,12 +5,12 @@
 use futures_util::future::join_all;
 use http::Method;
 use serde_json::json;
+use sloetrail_serving_testkit::blackhole_proxy::BlackholeProxy;
 use sloetrail_serving_testkit::client::{Answer, Call, batch};
 use sloetrail_serving_testkit::cluster::{
     APPLICATION, Cluster, HOST, MODEL, MODELS, eventually, usual_routes,
 };
-use sloetrail_serving_testkit::engine::EngineStandIn;
-use sloetrail_serving_testkit::silencing_proxy::SilencingProxy;
+use sloetrail_serving_testkit::engine::FakeEngine;
 use sloetrail_serving_testkit::stopwatch::Stopwatch;
 use sloetrail_serving_testkit::wire::NativeWire;
 use std::sync::Arc;
@@ -23,9 +23,9 @@
 
 struct Proxied {
     cluster: Cluster,
-    applications: Vec<Arc<EngineStandIn>>,
-    engine: Arc<EngineStandIn>,
-    proxies: Vec<Arc<SilencingProxy>>,
+    applications: Vec<Arc<FakeEngine>>,
+    engine: Arc<FakeEngine>,
+    proxies: Vec<Arc<BlackholeProxy>>,
 }
 
 /// A node whose back ends are reached through proxies.
@@ -36,8 +36,8 @@
     let services = std::iter::repeat_n((APPLICATION, &[][..]), applications);
     for (service, models) in services.chain([(MODELS, &[MODEL][..])]) {
         let wire = Arc::new(NativeWire);
-        let back_end = EngineStandIn::start(wire, service, "zone-a", models, pace).await;
-        let proxy = SilencingProxy::start(back_end.address()).await;
+        let back_end = FakeEngine::start(wire, service, "zone-a", models, pace).await;
+        let proxy = BlackholeProxy::start(back_end.address()).await;
         back_end.set_listed_address(proxy.address);
         cluster.list(&back_end);
         proxies.push(proxy);
@@ -59,7 +59,7 @@
     async fn use_all(&self) {
         let used = || async {
             self.requests("/live/x", "warm", KEPT).await;
-            let is_used = |proxy: &Arc<SilencingProxy>| proxy.accepted() > 1;
+            let is_used = |proxy: &Arc<BlackholeProxy>| proxy.accepted() > 1;
             let applications = &self.proxies[..self.applications.len()];
             applications.iter().all(is_used).then_some(())
         };
@@ -68,7 +68,7 @@
 
     fn silence_all(&self) {
         for proxy in &self.proxies {
-            proxy.silence();
+            proxy.blackhole_connections();
         }
     }
 
@@ -101,9 +101,12 @@
     }
 
     /// How often something went to or came from applications over silent connections.
-    fn silent_uses(&self) -> usize {
+    fn discarded_reads(&self) -> usize {
         let applications = &self.proxies[..self.applications.len()];
-        applications.iter().map(|proxy| proxy.silent_uses()).sum()
+        applications
+            .iter()
+            .map(|proxy| proxy.discarded_reads())
+            .sum()
     }
 
     fn accepted(&self) -> usize {
@@ -122,7 +125,7 @@
         assert_eq!(status, 200);
         assert!(took < TARGET, "request {number}: {took:?}");
     }
-    let met = proxied.silent_uses();
+    let met = proxied.discarded_reads();
     assert!((1..=2).contains(&met), "{met} met it, of two addresses");
 }
 
@@ -135,12 +138,12 @@
         assert_eq!(status, 200);
         assert!(took < TARGET, "{took:?}");
     }
-    let met = proxied.silent_uses();
+    let met = proxied.discarded_reads();
     for (status, took) in proxied.requests("/live/x", "second", KEPT).await {
         assert_eq!(status, 200);
         assert!(took < TARGET / 4, "{took:?}");
     }
-    assert_eq!(proxied.silent_uses(), met, "no later one meets it");
+    assert_eq!(proxied.discarded_reads(), met, "no later one meets it");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -152,7 +155,7 @@
         assert_eq!(status, 200);
         assert!(took < TARGET / 4, "{took:?}");
     }
-    assert_eq!(proxied.silent_uses(), 0);
+    assert_eq!(proxied.discarded_reads(), 0);
     for number in 0..KEPT {
         assert_eq!(proxied.runs_of(&format!("once-{number}")), 1);
     }
@@ -169,13 +172,13 @@
     let answer = proxied.events("s1").await.expect("an answer");
     assert_eq!(answer.status, 200);
     assert!(watch.elapsed() < Duration::from_millis(2_000));
-    let met = proxied.silent_uses();
+    let met = proxied.discarded_reads();
     let watch = Stopwatch::start();
     let answer = proxied.events("s2").await.expect("an answer");
     assert_eq!(answer.status, 200);
     let took = watch.elapsed();
     assert!(took < TARGET, "{took:?}");
-    assert_eq!(proxied.silent_uses(), met, "the next does not meet it");
+    assert_eq!(proxied.discarded_reads(), met, "the next does not meet it");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -194,7 +197,7 @@
     assert_eq!(answer.status, 200);
     let took = watch.elapsed();
     assert!(took < TARGET, "{took:?}");
-    assert_eq!(proxied.silent_uses(), 0);
+    assert_eq!(proxied.discarded_reads(), 0);
     assert_eq!(proxied.runs_of("s1"), 1);
 }
 
@@ -288,7 +291,7 @@
     proxied.use_all().await;
     for application in &proxied.applications {
         // Longer than a second back end is waited for (70 ms of the target's 200).
-        application.set_pace(Duration::from_millis(120));
+        application.set_event_interval(Duration::from_millis(120));
     }
     // Until the node knows how long answers take, it asks a second back end too soon.
     for round in 0..ROUNDS {
--- a/crates/sloetrail-serving/tests/streams.rs
+++ b/crates/sloetrail-serving/tests/streams.rs
@@ -71,7 +71,7 @@
 async fn broken_streams_wait_for_a_back_end() {
     let mut cluster = native_cluster();
     let application = cluster.add_application("zone-a").await;
-    application.set_pace(Duration::from_millis(50));
+    application.set_event_interval(Duration::from_millis(50));
     let node = cluster.add_node("node-1").await;
     cluster.wait_ready(node).await;
     application.set_fault(EngineFault::BreaksOff(4), Some(1));
--- a/crates/sloetrail-serving/tests/supply.rs
+++ b/crates/sloetrail-serving/tests/supply.rs
@@ -10,7 +10,7 @@
     Changes, Commit, CommitError, KeyRange, Page, ReadError, Table, TableLimits, Transaction,
 };
 use sloetrail_serving_testkit::cluster::{Cluster, MODELS, eventually, usual_routes};
-use sloetrail_serving_testkit::supply::{SupplyBook, SupplyRecord};
+use sloetrail_serving_testkit::supply::{SupplyRecord, SupplyRecorder};
 use sloetrail_types::RowVersion;
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
@@ -26,16 +26,16 @@
 /// Covers the 8 s of load history that releasing engines requires.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(11);
 
-async fn cluster(scaling: bool) -> (Cluster, Arc<SupplyBook>) {
+async fn cluster(scaling: bool) -> (Cluster, Arc<SupplyRecorder>) {
     let (mut cluster, recorder) = configured(scaling);
     start(&mut cluster).await;
     (cluster, recorder)
 }
 
-fn configured(scaling: bool) -> (Cluster, Arc<SupplyBook>) {
-    let recorder = SupplyBook::new();
+fn configured(scaling: bool) -> (Cluster, Arc<SupplyRecorder>) {
+    let recorder = SupplyRecorder::new();
     let mut cluster = native_cluster();
-    cluster.engine_supply = Some(Arc::<SupplyBook>::clone(&recorder));
+    cluster.engine_supply = Some(Arc::<SupplyRecorder>::clone(&recorder));
     if scaling {
         cluster.scaling = Some(json!({"min": 1, "max": 8, "boot_s": 0.2}));
     }
@@ -58,7 +58,7 @@
 async fn run_batches_until_ordered(
     cluster: &Cluster,
     node: usize,
-    recorder: &SupplyBook,
+    recorder: &SupplyRecorder,
     count: usize,
 ) {
     let began = Instant::now();
@@ -242,7 +242,7 @@
 
 /// Starts a cluster in the region north with a region-bound tenant and with more engines than a
 /// light load needs.
-async fn overprovisioned_cluster(bound_to: &str) -> (Cluster, Arc<SupplyBook>) {
+async fn overprovisioned_cluster(bound_to: &str) -> (Cluster, Arc<SupplyRecorder>) {
     let (mut cluster, recorder) = configured(true);
     cluster.regions = [("zone-a", "north"), ("zone-b", "south")]
         .map(|(zone, region)| (zone.to_owned(), region.to_owned()))
--- a/crates/sloetrail-serving/tests/support/fragile.rs
+++ b/crates/sloetrail-serving/tests/support/fragile.rs
@@ -4,7 +4,7 @@
 use http::Method;
 use sloetrail_serving_testkit::client::{Answer, Call};
 use sloetrail_serving_testkit::cluster::{Cluster, HOST, eventually};
-use sloetrail_serving_testkit::engine::EngineStandIn;
+use sloetrail_serving_testkit::engine::FakeEngine;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -55,7 +55,7 @@
     async fn add_application(&mut self) {
         let application = self.cluster.add_application("zone-a").await;
         application.set_software(self.software);
-        application.set_lethal(LETHAL);
+        application.set_crash_body(LETHAL);
         self.cluster.list(&application);
     }
 
@@ -102,7 +102,7 @@
         self.crashed_ones().len()
     }
 
-    fn crashed_ones(&self) -> Vec<Arc<EngineStandIn>> {
+    fn crashed_ones(&self) -> Vec<Arc<FakeEngine>> {
         let engines = self.cluster.engines.iter();
         let crashed = engines.filter(|engine| engine.has_crashed());
         crashed.cloned().collect()
--- a/crates/sloetrail-serving/tests/suspended.rs
+++ b/crates/sloetrail-serving/tests/suspended.rs
@@ -25,7 +25,7 @@
     let answer = live(&cluster, 0, "/once/x", "before").await;
     assert_eq!(answer.expect("an answer").status, 200);
     let before = arrivals(&cluster);
-    cluster.nodes[0].link.set_held(true);
+    cluster.nodes[0].link.set_blocked(true);
     cluster.nodes[0].suspend(SUSPENDED).await;
     let asking = live(&cluster, 0, "/once/x", "after");
     let early = tokio::time::timeout(AT_ONCE, asking).await;
--- a/crates/sloetrail-serving/tests/tenants.rs
+++ b/crates/sloetrail-serving/tests/tenants.rs
@@ -160,7 +160,7 @@
     ] {
         cluster.api_key = key.map(str::to_owned);
         let path = format!("/v1/batch-items/{}?id=i0", "b1");
-        let body = cluster.keyed(Call::new(Method::GET, HOST, path));
+        let body = cluster.with_api_key(Call::new(Method::GET, HOST, path));
         let answers = [
             cluster.read_answer(0, "b1", 0).await.expect("an answer"),
             cluster.end(0, "b1").await.expect("an answer"),
--- a/crates/sloetrail-serving/tests/tenants_in_turn.rs
+++ b/crates/sloetrail-serving/tests/tenants_in_turn.rs
@@ -71,7 +71,7 @@
     cluster
         .add_application("zone-a")
         .await
-        .set_pace(SERVICE_TIME);
+        .set_event_interval(SERVICE_TIME);
     cluster.add_engine(Duration::from_millis(5)).await;
     let node = cluster.add_node("node-1").await;
     cluster.wait_ready(node).await;
--- a/crates/sloetrail-serving/tests/usage.rs
+++ b/crates/sloetrail-serving/tests/usage.rs
@@ -9,7 +9,7 @@
 use sloetrail_serving_testkit::cluster::{Cluster, HOST, MODEL, eventually, usual_routes};
 use sloetrail_serving_testkit::engine::EngineFault;
 use sloetrail_serving_testkit::table::CommitFault;
-use sloetrail_serving_testkit::usage::{ReportBook, ReportFault};
+use sloetrail_serving_testkit::usage::{ReportFault, ReportRecorder};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,8 +23,8 @@
     due_s: 2.0,
 };
 
-async fn cluster(nodes: &[&str]) -> (Cluster, Arc<ReportBook>) {
-    let book = ReportBook::new();
+async fn cluster(nodes: &[&str]) -> (Cluster, Arc<ReportRecorder>) {
+    let book = ReportRecorder::new();
     let mut cluster = client_cluster();
     cluster.tenants = Some(json!([
         {"name": "north", "api_keys": ["north-key"]},
@@ -40,7 +40,7 @@
     cluster.api_key = Some("north-key".to_owned());
     cluster.peers = true;
     cluster.usage = Some(WINDOWS);
-    cluster.recipient = Some(Arc::<ReportBook>::clone(&book));
+    cluster.recipient = Some(Arc::<ReportRecorder>::clone(&book));
     cluster.add_application("zone-a").await;
     cluster.add_application("zone-a").await;
     cluster.add_engine(Duration::from_millis(5)).await;
@@ -71,27 +71,27 @@
     }
 }
 
-async fn wait_reported(book: &ReportBook, tenant: &str, count: u64) {
+async fn wait_reported(book: &ReportRecorder, tenant: &str, count: u64) {
     let is_reported = || async { (book.requests_of(tenant) >= count).then_some(()) };
     eventually("the requests are reported", is_reported).await;
     assert_eq!(book.requests_of(tenant), count);
 }
 
 /// Waits for reports of windows that are under way now.
-async fn wait_later_windows(book: &ReportBook, count: usize) {
+async fn wait_later_windows(book: &ReportRecorder, count: usize) {
     let until = book.taken().len() + count;
     let are_there = || async { (book.taken().len() >= until).then_some(()) };
     eventually("later windows are reported", are_there).await;
 }
 
-fn assert_no_window_is_left_out(book: &ReportBook) {
+fn assert_no_window_is_left_out(book: &ReportRecorder) {
     let windows: Vec<u64> = book.taken().keys().map(|window| window.0).collect();
     let (first, last) = (windows[0], windows[windows.len() - 1]);
     assert_eq!(windows, (first..=last).collect::<Vec<u64>>());
 }
 
 /// Reports of two holders lie apart, and epochs never fall.
-fn assert_no_turns(book: &ReportBook) {
+fn assert_no_turns(book: &ReportRecorder) {
     let records = book.records();
     for pair in records.windows(2) {
         let [first, second] = pair else {
@@ -105,7 +105,7 @@
 }
 
 /// The node that sent the last report.
-async fn holder(book: &ReportBook) -> usize {
+async fn holder(book: &ReportRecorder) -> usize {
     let holder = || async {
         let records = book.records();
         let names = ["node-1", "node-2", "node-3"];
@@ -196,7 +196,7 @@
 async fn a_request_whose_caller_leaves_counts_once_it_began() {
     let (cluster, book) = cluster(&["node-1"]).await;
     for application in &cluster.engines[..2] {
-        application.set_pace(Duration::from_secs(1));
+        application.set_event_interval(Duration::from_secs(1));
     }
     let call = call(&cluster, "/keyed/x", "r1", "north-key");
     let sending = call.send(cluster.nodes[0].callers);
@@ -227,7 +227,7 @@
     let (mut cluster, book) = cluster(&["node-1", "node-2"]).await;
     let first = holder(&book).await;
     use_it(&cluster, 1 - first, "north", 5).await;
-    book.set_fault(ReportFault::TakenUnanswered);
+    book.set_fault(ReportFault::AcceptedUnanswered);
     let before = book.taken().len();
     let is_taken = || async { (book.taken().len() > before).then_some(()) };
     eventually("a report is taken without an answer", is_taken).await;
@@ -278,7 +278,7 @@
         newest = window;
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    assert_eq!(cluster.table.faults_left(), Some(0));
+    assert_eq!(cluster.table.remaining_faults(), Some(0));
     assert!(newest > first + 3, "reports went on");
 }
 
@@ -286,7 +286,7 @@
 async fn a_request_that_runs_longer_than_its_report_waits_counts_in_its_window() {
     let (cluster, book) = cluster(&["node-1"]).await;
     for application in &cluster.engines[..2] {
-        application.set_pace(Duration::from_millis(1_800));
+        application.set_event_interval(Duration::from_millis(1_800));
     }
     let call =
         call(&cluster, "/keyed/x", "r1", "north-key").header(&cluster.names().deadline_ms, "4000");
@@ -326,7 +326,7 @@
 async fn a_sum_whose_commit_gets_no_answer_is_reported_as_it_was_committed() {
     for fault in [
         CommitFault::DoneUnanswered,
-        CommitFault::LostOnTheWay,
+        CommitFault::RequestLost,
         CommitFault::DoneLate(Duration::from_millis(700)),
     ] {
         let (cluster, book) = cluster(&["node-1"]).await;
