--- a/crates/sloetrail-serving-testkit/src/blackhole_proxy.rs
+++ b/crates/sloetrail-serving-testkit/src/blackhole_proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy whose connections can fall silent while new ones work.
+//! A loopback proxy that can blackhole its open connections while new ones work.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,23 +7,21 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes that are copied at a time.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// The proxy.
 pub struct BlackholeProxy {
-    /// Where it listens.
     pub address: SocketAddr,
-    /// Grows each time that the connections there are fall silent.
+    /// Incremented each time the open connections are blackholed.
     blackholes: watch::Sender<u64>,
     accepted: AtomicUsize,
     discarded_reads: Arc<AtomicUsize>,
 }
 
 impl BlackholeProxy {
-    /// Starts a proxy in front of a target.
     pub async fn start(target: SocketAddr) -> Arc<Self> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("free loopback port");
         let (blackholes, _) = watch::channel(0);
         let proxy = Arc::new(Self {
             address: listener.local_addr().expect("bound"),
@@ -37,7 +35,7 @@
                 serving.accepted.fetch_add(1, Ordering::SeqCst);
                 let watch = BlackholeWatch {
                     blackholes: serving.blackholes.subscribe(),
-                    uses: Arc::clone(&serving.discarded_reads),
+                    discarded_reads: Arc::clone(&serving.discarded_reads),
                 };
                 tokio::spawn(relay(near, target, watch));
             }
@@ -45,28 +43,27 @@
         proxy
     }
 
-    /// Makes the connections that there are silent for good; later ones work.
+    /// Blackholes all open connections permanently. Later connections are not affected.
     pub fn blackhole_connections(&self) {
         self.blackholes.send_modify(|count| *count += 1);
     }
 
-    /// How often something came over a connection that was silent by then, in either
-    /// direction: the calls that met the silence, where each comes in one piece.
+    /// Reads in either direction whose data was discarded on a blackholed connection. Equals the
+    /// number of affected messages if each arrives in a single read.
     pub fn discarded_reads(&self) -> usize {
         self.discarded_reads.load(Ordering::SeqCst)
     }
 
-    /// Connections that were accepted so far.
     pub fn accepted(&self) -> usize {
         self.accepted.load(Ordering::SeqCst)
     }
 }
 
-/// Whether a connection is silent by now, and what is counted then.
+/// Shows whether a connection is blackholed, and counts its discarded reads.
 #[derive(Clone)]
 struct BlackholeWatch {
     blackholes: watch::Receiver<u64>,
-    uses: Arc<AtomicUsize>,
+    discarded_reads: Arc<AtomicUsize>,
 }
 
 impl BlackholeWatch {
@@ -79,7 +76,7 @@
     let Ok(far) = TcpStream::connect(target).await else {
         return;
     };
-    // Without it small messages would wait for more.
+    // Nagle's algorithm would delay small messages.
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
@@ -89,7 +86,8 @@
     );
 }
 
-/// Copies until one side ends. Once silent, it swallows what comes and tells no end.
+/// Copies until one side closes. A blackholed connection discards all data and never
+/// forwards a close.
 async fn copy(
     mut from: impl AsyncReadExt + Unpin,
     mut to: impl AsyncWriteExt + Unpin,
@@ -101,7 +99,7 @@
         let is_blackholed = watch.is_blackholed();
         match read {
             Ok(length) if length > 0 && is_blackholed => {
-                watch.uses.fetch_add(1, Ordering::SeqCst);
+                watch.discarded_reads.fetch_add(1, Ordering::SeqCst);
             }
             Ok(length) if length > 0 => {
                 if to.write_all(&buffer[..length]).await.is_err() {
@@ -110,7 +108,7 @@
             }
             _ if is_blackholed => std::future::pending().await,
             _ => {
-                // The other side may have gone already.
+                // The other side may already be closed.
                 let _ = to.shutdown().await;
                 return;
             }
--- a/crates/sloetrail-serving-testkit/src/client.rs
+++ b/crates/sloetrail-serving-testkit/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls as callers and trainers make them.
+//! HTTP calls of live callers and trainers.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -16,35 +16,31 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An answer, read to its end.
+/// A response with its complete body.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Its status.
     pub status: StatusCode,
-    /// Its headers.
     pub headers: HeaderMap,
-    /// Its body.
     pub body: Bytes,
 }
 
 impl Answer {
-    /// The body as JSON; null if it is none.
+    /// The body as JSON; null if it is not valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or(Value::Null)
     }
 
-    /// The body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// A header as text.
+    /// The value of a header; None if it is missing or not text.
     pub fn header(&self, name: &HeaderName) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// A call.
+/// A request to a node or back end.
 #[derive(Clone, Debug)]
 pub struct Call {
     method: Method,
@@ -54,10 +50,9 @@
 }
 
 impl Call {
-    /// A call to a host.
     pub fn new(method: Method, host: &str, path: impl Into<String>) -> Self {
         let mut headers = HeaderMap::new();
-        let host = HeaderValue::from_str(host).expect("a host");
+        let host = HeaderValue::from_str(host).expect("valid host header");
         headers.insert(http::header::HOST, host);
         Self {
             method,
@@ -67,23 +62,21 @@
         }
     }
 
-    /// The same call with a header.
     #[must_use]
     pub fn header(mut self, name: &HeaderName, value: &str) -> Self {
-        let value = HeaderValue::from_str(value).expect("a header's value");
+        let value = HeaderValue::from_str(value).expect("valid header value");
         self.headers.insert(name.clone(), value);
         self
     }
 
-    /// The same call with a body.
     #[must_use]
     pub fn body(mut self, body: impl Into<Bytes>) -> Self {
         self.body = body.into();
         self
     }
 
-    /// Makes the call on a new connection; nothing if no whole answer comes. The connection
-    /// is closed at the end, and when the call is dropped.
+    /// Sends the call on a new connection. None if no complete response arrives in time. The
+    /// connection is closed when the call ends or is dropped.
     pub async fn send(&self, address: SocketAddr) -> Option<Answer> {
         tokio::time::timeout(CALL_TIMEOUT, self.try_send(address))
             .await
@@ -114,7 +107,7 @@
     }
 }
 
-/// An item of a batch, as its trainer writes it.
+/// A batch item in the JSON form that trainers submit.
 pub fn item(id: &str, group: &str, events: u64) -> Value {
     json!({
         "id": id, "path": "/rollout/item", "headers": {}, "group": group, "tokens": events,
@@ -122,7 +115,7 @@
     })
 }
 
-/// The same item with a reward call.
+/// Adds a reward call to an item.
 pub fn with_reward(mut item: Value, host: &str) -> Value {
     let id = item["id"].as_str().unwrap_or_default().to_owned();
     item["reward"] = json!({
@@ -132,12 +125,11 @@
     item
 }
 
-/// A batch of these items.
 pub fn batch(items: &[Value], model: &str, min_version: u64) -> Value {
     json!({"step": 0, "model": model, "min_version": min_version, "items": items})
 }
 
-/// A submission of a batch.
+/// The call that submits a batch.
 pub fn submission(names: &HeaderNames, host: &str, id: &str, batch: &Value) -> Call {
     Call::new(Method::POST, host, format!("/rollout/{id}"))
         .header(&names.request_id, id)
--- a/crates/sloetrail-serving-testkit/src/cluster.rs
+++ b/crates/sloetrail-serving-testkit/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Nodes, table and back ends put together.
+//! A cluster of nodes, a table and back ends within one test process.
 
 mod configuration;
 mod node_process;
@@ -27,72 +27,62 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// The host of every route.
 pub const HOST: &str = "a.example";
-/// The service of live requests.
 pub const APPLICATION: &str = "application";
-/// The service of batches.
 pub const MODELS: &str = "models";
-/// The only model.
 pub const MODEL: &str = "m";
 
-/// Short, so that a takeover is soon over.
+/// Short, so that takeovers complete quickly.
 const LEASE_MS: u64 = 500;
-/// Longer than a lease, as the settings of the product are by default.
+/// Longer than a lease, as in the default settings.
 const ORDER_GAP_MS: u64 = 800;
-/// The pause between two tries of [`eventually`].
+/// The delay between two attempts of [`eventually`].
 const POLL_INTERVAL: Duration = Duration::from_millis(15);
-/// How long [`eventually`] tries: several takeovers on a busy machine.
+/// How long [`eventually`] retries: enough for several takeovers on a busy machine.
 const EVENTUALLY_TIMEOUT: Duration = Duration::from_secs(20);
 
 static NEXT_INCARNATION: AtomicU64 = AtomicU64::new(1);
 
-/// Nodes, table and back ends.
+/// Nodes, their table and their back ends. Fields that hold settings apply to nodes started,
+/// and configurations written, after the field is set.
 pub struct Cluster {
-    /// The table.
     pub table: Arc<MemoryTable>,
-    /// The nodes.
     pub nodes: Vec<NodeProcess>,
-    /// The back ends.
     pub engines: Vec<Arc<FakeEngine>>,
-    /// The setting of that name for nodes that start from now on.
     pub body_budget_bytes: Option<usize>,
-    /// The same.
     pub processor_share: Option<f64>,
-    /// True if nodes that start from now on carry calls to the table for one another.
+    /// True if nodes relay table calls for one another.
     pub peers: bool,
-    /// The region of each zone, for nodes that start from now on.
+    /// The region of each zone.
     pub regions: BTreeMap<String, String>,
-    /// What cold back ends bear, in the configuration of both services: seconds that they
-    /// are cold, and requests a second.
+    /// The cold period in seconds and the requests per second that a cold back end receives,
+    /// for both services.
     pub cold: Option<(f64, f64)>,
-    /// How much more cold back ends may get, for nodes that start from now on.
+    /// By how much the limits of cold back ends may be exceeded.
     pub cold_tolerance: Option<RawColdSettings>,
-    /// How long a lease lasts for nodes that start from now on.
     pub lease_ms: u64,
-    /// When nodes that start from now on report usage.
     pub usage: Option<RawUsageSettings>,
-    /// Who takes the reports.
+    /// Receives usage reports.
     pub recipient: Option<Arc<dyn UsageRecipient>>,
-    /// Who takes orders for numbers of engines.
+    /// Receives orders for engine counts.
     pub engine_supply: Option<Arc<dyn EngineSupply>>,
-    /// How many engines may be ordered, in configurations that are written from now on.
+    /// The `scaling` section of the models service.
     pub scaling: Option<Value>,
-    /// The tenants of configurations that are written from now on.
+    /// The `tenants` section of the configuration.
     pub tenants: Option<Value>,
-    /// The key that the calls of this type carry.
+    /// The API key that [`Self::with_api_key`] adds to calls.
     pub api_key: Option<String>,
-    /// Where the next node that is added tells its metrics.
+    /// Where the next node serves its metrics.
     pub metrics_address: Option<SocketAddr>,
     wire: Arc<dyn EngineWire>,
     dialect: Arc<dyn Dialect>,
-    /// Turns a way to the table into the table that a node is given.
+    /// Builds the table client of a node from its link.
     wrap: Box<dyn Fn(Arc<TableLink>) -> Arc<dyn Table> + Send + Sync>,
     revision: u64,
 }
 
 impl Cluster {
-    /// A cluster without nodes and back ends, with a configuration of the usual routes.
+    /// A cluster without nodes and back ends. Writes a configuration with [`usual_routes`].
     pub fn new(wire: Arc<dyn EngineWire>, dialect: Arc<dyn Dialect>) -> Self {
         let mut cluster = Self {
             table: MemoryTable::new(),
@@ -121,7 +111,7 @@
         cluster
     }
 
-    /// The same cluster whose nodes reach the table in another way.
+    /// Sets how the table client of a node is built from its link.
     #[must_use]
     pub fn with_table(
         mut self,
@@ -131,19 +121,18 @@
         self
     }
 
-    /// The names of headers.
     pub fn names(&self) -> HeaderNames {
         self.dialect.headers().clone()
     }
 
-    /// Writes a configuration of these routes.
+    /// Writes a configuration with these routes under the next version.
     pub fn configure(&mut self, routes: Value) {
         self.revision += 3;
         let revision = self.revision;
         self.write_configuration(revision, routes);
     }
 
-    /// Writes a configuration under a version of the caller's choice.
+    /// Writes a configuration with these routes under the given version.
     pub fn write_configuration(&self, version: u64, routes: Value) {
         let mut configuration = usual_configuration(version, &routes);
         if let Some(scaling) = &self.scaling {
@@ -162,7 +151,7 @@
         self.table.write(address, configuration.to_string());
     }
 
-    /// Publishes a version of the model.
+    /// Publishes a weight version of [`MODEL`].
     pub fn publish(&self, version: u64) {
         let (key, value) = self.wire.published(MODEL, version);
         let sources = self.dialect.sources();
@@ -170,12 +159,11 @@
         self.table.write(address, value.to_string());
     }
 
-    /// Asks for the evacuation of a zone.
+    /// Requests the evacuation of a zone.
     pub fn evacuate(&self, zone: &str) {
         self.table.write(self.evacuation(zone), "{}");
     }
 
-    /// Withdraws the evacuation of a zone.
     pub fn withdraw_evacuation(&self, zone: &str) {
         self.table.delete(self.evacuation(zone));
     }
@@ -185,18 +173,18 @@
         RowAddress::new(&sources.configuration.table, "", self.wire.evacuation(zone))
     }
 
-    /// Starts a back end of live requests.
+    /// Starts a back end of [`APPLICATION`].
     pub async fn add_application(&mut self, zone: &str) -> Arc<FakeEngine> {
         self.add(APPLICATION, zone, &[], Duration::from_millis(5))
             .await
     }
 
-    /// Starts an engine in the usual zone.
+    /// Starts an engine in `zone-a`.
     pub async fn add_engine(&mut self, event_interval: Duration) -> Arc<FakeEngine> {
         self.add_engine_in("zone-a", event_interval).await
     }
 
-    /// Starts an engine in a zone.
+    /// Starts an engine of [`MODELS`].
     pub async fn add_engine_in(&mut self, zone: &str, event_interval: Duration) -> Arc<FakeEngine> {
         self.add(MODELS, zone, &[MODEL], event_interval).await
     }
@@ -215,29 +203,30 @@
         engine
     }
 
-    /// Writes a back end's row as it is now.
+    /// Writes the directory row of a back end with its present state.
     pub fn list(&self, engine: &FakeEngine) {
         let (table, value) = self.wire.row(&engine.listing());
         self.table
             .write(RowAddress::new(table, "", &engine.id), value.to_string());
     }
 
-    /// Deletes a back end's row.
+    /// Deletes the directory row of a back end.
     pub fn unlist(&self, engine: &FakeEngine) {
         let (table, _) = self.wire.row(&engine.listing());
         self.table.delete(RowAddress::new(table, "", &engine.id));
     }
 
-    /// Starts a node in the usual zone; nodes of one name are lives of one machine.
+    /// Starts a node in `zone-a` and returns its index. Nodes with the same name are incarnations
+    /// of one machine.
     pub async fn add_node(&mut self, name: &str) -> usize {
         self.add_node_in("zone-a", name).await
     }
 
-    /// Starts a node in a zone.
+    /// Starts a node and returns its index.
     pub async fn add_node_in(&mut self, zone: &str, name: &str) -> usize {
         let raw = self.raw_settings(zone, name);
         let incarnation = NEXT_INCARNATION.fetch_add(1, Ordering::Relaxed);
-        let settings = ServingSettings::check(raw, incarnation).expect("sound settings");
+        let settings = ServingSettings::check(raw, incarnation).expect("valid settings");
         let link = TableLink::new(Arc::clone(&self.table));
         let table = (self.wrap)(Arc::clone(&link));
         let dialect = Arc::clone(&self.dialect);
@@ -251,7 +240,7 @@
     }
 
     fn raw_settings(&self, zone: &str, name: &str) -> RawServingSettings {
-        let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+        let any: SocketAddr = "127.0.0.1:0".parse().expect("valid socket address");
         RawServingSettings {
             node: name.to_owned(),
             zone: zone.to_owned(),
@@ -275,24 +264,24 @@
         }
     }
 
-    /// Waits until a node says that it is ready.
+    /// Waits until a node reports that it is ready.
     pub async fn wait_ready(&self, node: usize) {
         wait_until_ready(self.nodes[node].ready).await;
     }
 
-    /// Submits a batch once; nothing if no answer comes.
+    /// Submits a batch without retries. None if no response arrives.
     pub async fn submit(&self, node: usize, id: &str, batch: &Value) -> Option<Answer> {
         let call = self.with_api_key(submission(&self.names(), HOST, id, batch));
         call.send(self.nodes[node].callers).await
     }
 
-    /// Reads one page of a batch's results; nothing unless it is answered with 200.
+    /// Reads one page of a batch's results. None unless the response has status 200.
     pub async fn read(&self, node: usize, id: &str, after: usize) -> Option<Value> {
         let answer = self.read_answer(node, id, after).await?;
         (answer.status == 200).then(|| answer.json())
     }
 
-    /// Reads one page of a batch's results, whatever the answer is.
+    /// Reads one page of a batch's results and returns the response with any status.
     pub async fn read_answer(&self, node: usize, id: &str, after: usize) -> Option<Answer> {
         let path = format!("{}{id}?after={after}", self.dialect.paths().batches);
         self.with_api_key(Call::new(Method::GET, HOST, path))
@@ -300,7 +289,7 @@
             .await
     }
 
-    /// A call with the cluster's key, if it has one.
+    /// Adds the API key of the cluster to a call, if one is set.
     pub fn with_api_key(&self, call: Call) -> Call {
         match &self.api_key {
             Some(key) => call.header(&self.names().api_key, key),
@@ -308,7 +297,7 @@
         }
     }
 
-    /// Ends a batch.
+    /// Deletes a batch.
     pub async fn end(&self, node: usize, id: &str) -> Option<Answer> {
         let path = format!("{}{id}", self.dialect.paths().batches);
         self.with_api_key(Call::new(Method::DELETE, HOST, path))
@@ -316,7 +305,7 @@
             .await
     }
 
-    /// Reads a batch at a node until it lists `count` results.
+    /// Reads a batch until at least `count` results are listed, and returns all of them.
     pub async fn wait_results(&self, node: usize, id: &str, count: usize) -> Vec<Value> {
         let all = || async {
             let mut results: Vec<Value> = Vec::new();
@@ -330,11 +319,11 @@
             }
             (results.len() >= count).then_some(results)
         };
-        eventually("the batch is whole", all).await
+        eventually("the batch lists all expected results", all).await
     }
 }
 
-/// Waits until the node that tells its readiness at an address is ready.
+/// Waits until the node whose readiness endpoint is at `address` is ready.
 pub async fn wait_until_ready(address: SocketAddr) {
     let call = Call::new(Method::GET, HOST, "/v1/ready");
     let is_ready = || async {
@@ -344,11 +333,11 @@
     eventually("the node is ready", is_ready).await;
 }
 
-/// Tries until there is a result.
+/// Retries until the attempt returns a value.
 ///
 /// # Panics
 ///
-/// If there is none in twenty seconds.
+/// If no attempt succeeds in twenty seconds.
 pub async fn eventually<Outcome, Trying>(what: &str, attempt: impl Fn() -> Trying) -> Outcome
 where
     Trying: Future<Output = Option<Outcome>>,
@@ -360,7 +349,7 @@
         }
         assert!(
             Instant::now() < deadline,
-            "{what}: not in {EVENTUALLY_TIMEOUT:?}"
+            "timed out after {EVENTUALLY_TIMEOUT:?} waiting for: {what}"
         );
         tokio::time::sleep(POLL_INTERVAL).await;
     }
--- a/crates/sloetrail-serving-testkit/src/cluster/configuration.rs
+++ b/crates/sloetrail-serving-testkit/src/cluster/configuration.rs
@@ -1,9 +1,9 @@
-//! The configuration that the operator puts in force.
+//! The default operator configuration of a test cluster.
 
 use super::{APPLICATION, HOST, MODEL, MODELS};
 use serde_json::{Value, json};
 
-/// A configuration of these routes, of both services and without tenants.
+/// A configuration with these routes, both services and no tenants.
 pub fn usual_configuration(version: u64, routes: &Value) -> Value {
     json!({
         "version": version, "routes": routes,
@@ -16,7 +16,7 @@
     })
 }
 
-/// The usual routes: live ones to the application, a rollout to the models.
+/// Three live routes to [`APPLICATION`] and a rollout route to [`MODELS`].
 pub fn usual_routes() -> Value {
     json!([
         {"name": "live", "host": HOST, "path_prefix": "/live/", "kind": "idempotent",
--- a/crates/sloetrail-serving-testkit/src/cluster/node_process.rs
+++ b/crates/sloetrail-serving-testkit/src/cluster/node_process.rs
@@ -1,4 +1,4 @@
-//! A node that ends at once or in an orderly way, as a process does.
+//! A node that can be killed, stopped, frozen or suspended like a process.
 
 use crate::table::TableLink;
 use sloetrail_clock::suspend_thread;
@@ -13,13 +13,12 @@
 use tokio::runtime::{Builder, Handle};
 use tokio::sync::oneshot;
 
-/// A node in a thread and a runtime of its own, which end with it as a process does.
+/// A node with its own thread and runtime, so that killing it ends all of its tasks.
 pub struct NodeProcess {
-    /// Where callers reach it.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where its readiness is asked.
+    /// The address of the readiness endpoint.
     pub ready: SocketAddr,
-    /// Its way to the table.
     pub link: Arc<TableLink>,
     runtime: Handle,
     kill: Option<oneshot::Sender<()>>,
@@ -28,7 +27,7 @@
 }
 
 impl NodeProcess {
-    /// Starts a node that reaches the table by `table`, which goes over `link`.
+    /// Starts a node. `table` is its table client and uses `link`.
     pub(super) async fn start(
         settings: ServingSettings,
         link: Arc<TableLink>,
@@ -49,7 +48,7 @@
             killed,
         };
         let thread = std::thread::spawn(move || start.run());
-        let (callers, ready, runtime) = addresses.await.expect("the node starts");
+        let (callers, ready, runtime) = addresses.await.expect("the node reports its addresses");
         Self {
             callers,
             ready,
@@ -61,36 +60,35 @@
         }
     }
 
-    /// Ends it at once, as a kill does.
+    /// Ends the node abruptly and waits for its thread.
     pub fn kill(&mut self) {
         self.kill.take();
         if let Some(thread) = self.thread.take() {
-            // A node that panicked has ended as well.
+            // An error means that the node panicked, so it has ended.
             let _ = thread.join();
         }
     }
 
-    /// Tells it to stop in an orderly way; it ends once it says that it has.
+    /// Starts a graceful stop without waiting for it; see [`Self::has_ended`].
     pub fn stop(&mut self) {
         if let Some(stop) = self.stop.take() {
-            // A node that was killed cannot be stopped.
+            // Sending fails if the node has already ended.
             let _ = stop.send(());
         }
     }
 
-    /// Stops it from running for a while, as a frozen process does.
+    /// Blocks the runtime of the node for `time`, like a frozen process.
     pub fn freeze(&self, time: Duration) {
         self.runtime.spawn(async move { std::thread::sleep(time) });
     }
 
-    /// Makes it see that its machine was suspended for a while: no time has passed on its
-    /// steady clock. Returns once it has.
+    /// Simulates a suspension of the machine for `time`: the steady clock of the node does not
+    /// advance. Returns when it is over.
     pub async fn suspend(&self, time: Duration) {
         let suspending = self.runtime.spawn(async move { suspend_thread(time) });
         suspending.await.expect("the node runs");
     }
 
-    /// True once it has ended.
     pub fn has_ended(&self) -> bool {
         self.thread.as_ref().is_none_or(JoinHandle::is_finished)
     }
@@ -102,7 +100,6 @@
     }
 }
 
-/// What a node needs to start.
 struct NodeStart {
     settings: ServingSettings,
     table: Arc<dyn Table>,
@@ -119,15 +116,15 @@
         let runtime = Builder::new_current_thread()
             .enable_all()
             .build()
-            .expect("a runtime");
+            .expect("runtime builds");
         let killed = self.killed;
         let serving = async move {
             let (settings, services) = (self.settings, self.services);
             let node = ServingNode::start(settings, self.table, self.dialect, services);
-            let node = node.await.expect("starts");
+            let node = node.await.expect("node starts");
             let runtime = Handle::current();
             let started = (node.callers_address(), node.ready_address(), runtime);
-            self.started.send(started).expect("awaited");
+            self.started.send(started).expect("start is awaited");
             match self.stopped.await {
                 Ok(()) => node.stop().await,
                 Err(_) => std::future::pending().await,
--- a/crates/sloetrail-serving-testkit/src/congested_proxy.rs
+++ b/crates/sloetrail-serving-testkit/src/congested_proxy.rs
@@ -1,8 +1,8 @@
-//! A loopback proxy to which connecting takes until it is opened.
+//! A loopback proxy that accepts no connection until it is opened.
 //!
-//! Its queue of connections that nobody has accepted is full, so the kernel drops the first
-//! packet of each further one. It is sent again after about a second: a connection that was
-//! begun before [`CongestedProxy::open`] is made soon after it.
+//! Its accept backlog is full, so the kernel drops further SYN packets. They are retransmitted
+//! after about a second, so pending connections are established soon after
+//! [`CongestedProxy::open`].
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,14 +10,12 @@
 use tokio::io::copy_bidirectional;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Connections that the queue is asked to hold.
+/// The backlog passed to `listen`.
 const BACKLOG: u32 = 1;
-/// A connection that is not made within this time found the queue full.
+/// The backlog is full once a connection is not established within this time.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The proxy.
 pub struct CongestedProxy {
-    /// Where it listens.
     pub address: SocketAddr,
     target: SocketAddr,
     closed: Mutex<Option<Congested>>,
@@ -25,16 +23,16 @@
 
 struct Congested {
     listener: TcpListener,
-    /// What fills the queue.
+    /// Connections that fill the backlog.
     fillers: Vec<TcpStream>,
 }
 
 impl CongestedProxy {
-    /// Starts a proxy in front of a target that lets nobody connect.
+    /// Starts a proxy in front of `target` with a full backlog.
     pub async fn start(target: SocketAddr) -> Arc<Self> {
-        let socket = TcpSocket::new_v4().expect("a socket");
+        let socket = TcpSocket::new_v4().expect("TCP socket");
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
-        socket.bind(any_port).expect("a free port");
+        socket.bind(any_port).expect("free loopback port");
         let listener = socket.listen(BACKLOG).expect("listens");
         let address = listener.local_addr().expect("bound");
         let mut fillers = Vec::new();
@@ -50,7 +48,7 @@
         })
     }
 
-    /// Lets everybody connect from now on, those too whose connecting is under way.
+    /// Accepts all connections from now on, including pending ones.
     pub fn open(&self) {
         let congested = self.closed.lock().expect("not poisoned").take();
         let Some(Congested { listener, fillers }) = congested else {
@@ -70,8 +68,8 @@
     let Ok(mut far) = TcpStream::connect(target).await else {
         return;
     };
-    // Without it small messages would wait for more.
+    // Nagle's algorithm would delay small messages.
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    // A side that goes away ends the other.
+    // When one side fails, both connections are dropped.
     let _ = copy_bidirectional(&mut near, &mut far).await;
 }
--- a/crates/sloetrail-serving-testkit/src/engine.rs
+++ b/crates/sloetrail-serving-testkit/src/engine.rs
@@ -1,4 +1,4 @@
-//! A back end that runs items and live requests, and writes down what it was asked.
+//! A fake back end that runs items and live requests and records what it received.
 
 mod connection;
 mod fault;
@@ -19,12 +19,12 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-/// Requests that it says it runs at a time.
+/// Slots that a back end lists.
 const SLOTS: usize = 8;
-/// How long an order takes: long enough that a test can meet an engine that is changing.
+/// How long loading a version takes: long enough for a test to observe it in progress.
 const LOAD_TIME: Duration = Duration::from_millis(80);
 
-/// The Unix millisecond from which on back ends start.
+/// Start times of back ends are above this Unix time in milliseconds.
 const FIRST_START_MS: u64 = 1_700_000_000_000;
 
 static NEXT_ID: AtomicU64 = AtomicU64::new(1);
@@ -42,11 +42,11 @@
     late_orders: Vec<ReadOrder>,
     draining: bool,
     listed_address: SocketAddr,
-    /// When it began to be cold, and for how long.
+    /// Start and length of each cold period.
     cold_periods: Vec<(Instant, Duration)>,
     arrivals: Vec<Instant>,
     resets: CancellationToken,
-    /// The body of the requests under which it crashes.
+    /// A request with this body crashes the back end.
     crash_body: Option<Bytes>,
     software: String,
 }
@@ -83,15 +83,12 @@
     }
 }
 
-/// A back end.
+/// A back end of a service, listening on loopback.
 pub struct FakeEngine {
-    /// Its id.
     pub id: String,
-    /// Its service.
     pub service: String,
-    /// Its zone.
     pub zone: String,
-    /// When this life began, in Unix milliseconds.
+    /// Start of this incarnation in Unix milliseconds.
     pub started_ms: u64,
     address: SocketAddr,
     wire: Arc<dyn EngineWire>,
@@ -100,7 +97,7 @@
 }
 
 impl FakeEngine {
-    /// Starts a back end of a service. `models` are at version one.
+    /// Starts a back end on a free port. `models` are at version one.
     pub async fn start(
         wire: Arc<dyn EngineWire>,
         service: &str,
@@ -108,11 +105,11 @@
         models: &[&str],
         event_interval: Duration,
     ) -> Arc<Self> {
-        let any = "127.0.0.1:0".parse().expect("an address");
+        let any = "127.0.0.1:0".parse().expect("valid socket address");
         Self::start_at(any, wire, service, zone, models, event_interval).await
     }
 
-    /// Starts a back end at an address, which another one may have had before.
+    /// Starts a back end at an address that an earlier one may have used.
     pub async fn start_at(
         address: SocketAddr,
         wire: Arc<dyn EngineWire>,
@@ -134,8 +131,8 @@
         .await
     }
 
-    /// Starts again under the name and address of one that has crashed, or crashes now. It
-    /// holds and knows nothing of before; its clock may have jumped meanwhile.
+    /// Crashes the back end if it still runs and starts a new incarnation with its id and address
+    /// and no earlier state. `clock_jump_ms` shifts the reported start time.
     pub async fn restart(&self, clock_jump_ms: i64) -> Arc<Self> {
         self.crash();
         let models: Vec<String> = self.state().versions.keys().cloned().collect();
@@ -145,7 +142,7 @@
         let incarnation = (self.id.clone(), started_ms);
         let location = (self.service.as_str(), self.zone.as_str());
         let wire = Arc::clone(&self.wire);
-        // The port is free once the tasks of the life before have seen its end.
+        // The port is free once the tasks of the earlier incarnation have ended.
         tokio::time::sleep(Duration::from_millis(20)).await;
         Self::begin(
             incarnation,
@@ -166,7 +163,9 @@
         models: &[&str],
         event_interval: Duration,
     ) -> Arc<Self> {
-        let listener = TcpListener::bind(address).await.expect("a free port");
+        let listener = TcpListener::bind(address)
+            .await
+            .expect("free loopback port");
         let address = listener.local_addr().expect("bound");
         let engine = Arc::new(Self {
             id,
@@ -182,17 +181,16 @@
         engine
     }
 
-    /// Where it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Lists itself from now on at another address, such as that of a proxy before it.
+    /// Sets the address in the listing, such as the address of a proxy.
     pub fn set_listed_address(&self, address: SocketAddr) {
         self.state().listed_address = address;
     }
 
-    /// What it lists of itself.
+    /// The contents of its directory row.
     pub fn listing(&self) -> Listing {
         let state = self.state();
         Listing {
@@ -208,100 +206,96 @@
         }
     }
 
-    /// Makes the next `count` requests (or all) meet a fault.
+    /// Applies a fault to the next `count` requests; to all if None.
     pub fn set_fault(&self, fault: EngineFault, count: Option<usize>) {
         let mut state = self.state();
         state.fault = fault;
         state.fault_count = count;
     }
 
-    /// The time between two events.
+    /// Sets the time between two events, which is also the run time of other requests.
     pub fn set_event_interval(&self, event_interval: Duration) {
         self.state().event_interval = event_interval;
     }
 
-    /// Is cold from now on for a while, and says so when it is listed again.
+    /// Starts a cold period. It appears in the directory when the back end is listed again.
     pub fn set_cold(&self, time: Duration) {
         self.state().cold_periods.push((Instant::now(), time));
     }
 
-    /// When it began to be cold each time, and for how long.
+    /// Start and length of each cold period.
     pub fn cold_periods(&self) -> Vec<(Instant, Duration)> {
         self.state().cold_periods.clone()
     }
 
-    /// When requests came, those that were refused included, but not those meant for
-    /// another instance.
+    /// Arrival times of requests, including refused ones but not those for another instance.
     pub fn arrivals(&self) -> Vec<Instant> {
         self.state().arrivals.clone()
     }
 
-    /// Says from now on that it takes no new work.
+    /// Lists itself as draining from now on.
     pub fn set_draining(&self) {
         self.state().draining = true;
     }
 
-    /// Closes every connection.
     pub fn reset_connections(&self) {
         let mut state = self.state();
         let resets = std::mem::take(&mut state.resets);
         resets.cancel();
     }
 
-    /// Crashes: the port is closed and every connection ends.
+    /// Closes the port and every connection.
     pub fn crash(&self) {
         self.stopped.cancel();
         self.reset_connections();
     }
 
-    /// Crashes from now on, a moment after it has begun to run a request with this body.
+    /// Makes each request with this body crash the back end one event interval after it starts.
     pub fn set_crash_body(&self, body: impl Into<Bytes>) {
         self.state().crash_body = Some(body.into());
     }
 
-    /// Runs software of this version, and says so when it is listed again.
+    /// Sets the software version. It appears in the directory when the back end is listed again.
     pub fn set_software(&self, version: &str) {
         self.state().software = version.to_owned();
     }
 
-    /// True once it has crashed.
     pub fn has_crashed(&self) -> bool {
         self.stopped.is_cancelled()
     }
 
-    /// Requests that began to run.
+    /// Requests that started to run.
     pub fn runs(&self) -> Vec<RunRecord> {
         self.state().runs.clone()
     }
 
-    /// The runs of one request.
     pub fn runs_of(&self, id: &str) -> Vec<RunRecord> {
         let state = self.state();
         let runs = state.runs.iter();
         runs.filter(|run| run.id == id).cloned().collect()
     }
 
-    /// Events that it made.
+    /// Events that were generated.
     pub fn events(&self) -> BTreeSet<EventRecord> {
         self.state().events.clone()
     }
 
-    /// Orders that came.
+    /// Orders that were applied or rejected.
     pub fn orders(&self) -> Vec<OrderRecord> {
         self.state().orders.clone()
     }
 
-    /// Orders that were left unanswered, to be carried out late.
+    /// Orders that were left unanswered and applied late.
     pub fn late_orders(&self) -> Vec<ReadOrder> {
         self.state().late_orders.clone()
     }
 
-    /// Uses a version from now on, as if it had been ordered.
+    /// Switches to a version without an order.
     pub fn force_version(&self, model: &str, version: u64) {
         self.state().versions.insert(model.to_owned(), version);
     }
 
-    /// The version of a model in use.
+    /// The version of a model in use; 0 if the model is unknown.
     pub fn version(&self, model: &str) -> u64 {
         self.state()
             .versions
@@ -310,7 +304,7 @@
             .unwrap_or_default()
     }
 
-    /// The version of the first model in use.
+    /// The version of the first model in use; 0 without models.
     fn current_version(&self) -> u64 {
         self.state()
             .versions
--- a/crates/sloetrail-serving-testkit/src/engine/connection.rs
+++ b/crates/sloetrail-serving-testkit/src/engine/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to a back end, and how it answers the requests on them.
+//! HTTP connections to a fake back end and the responses to its requests.
 
 use super::records::RecordGuard;
 use super::series::Series;
@@ -17,11 +17,11 @@
 use std::time::Instant;
 use tokio::net::TcpListener;
 
-/// The body of an answer, at once or as a series.
+/// A response body, either complete or a stream of events.
 pub(super) type EngineBody = UnsyncBoxBody<Bytes, io::Error>;
 
 impl FakeEngine {
-    /// Answers connections until the back end is crashed.
+    /// Serves connections until the back end crashes.
     pub(super) async fn serve(self: Arc<Self>, listener: TcpListener) {
         loop {
             let accepted = tokio::select! {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Answers a request that is meant for this instance.
+    /// Handles a request. Responds 421 if another instance is expected.
     async fn answer(
         self: Arc<Self>,
         request: Request<Incoming>,
@@ -78,7 +78,7 @@
         Response::new(full_body(status.to_string()))
     }
 
-    /// Runs a request, unless a fault keeps it from that.
+    /// Runs a request, subject to the current fault.
     async fn run(
         self: Arc<Self>,
         head: http::request::Parts,
@@ -93,7 +93,7 @@
         }
         let record = self.record_run(&head, &id);
         if self.state().crash_body.as_ref() == Some(&body) {
-            // It ends whether or not somebody still waits for the answer.
+            // A separate task, so that it crashes even if the sender disconnects.
             let (engine, event_interval) = (Arc::clone(&self), self.state().event_interval);
             let crashing = tokio::spawn(async move {
                 tokio::time::sleep(event_interval).await;
@@ -118,14 +118,19 @@
         Ok(self.series(record, &id, events, break_after))
     }
 
-    /// What a fault makes of a request that has begun to run; nothing if it runs on.
+    /// The result that a fault causes for a request that started to run. None if the run
+    /// continues.
     async fn fault_outcome(
         &self,
         fault: EngineFault,
         id: &str,
     ) -> Option<Result<Response<EngineBody>, io::Error>> {
         let answer = match fault {
-            EngineFault::AnswerLost => return Some(Err(io::Error::other("the answer is lost"))),
+            EngineFault::AnswerLost => {
+                return Some(Err(io::Error::other(
+                    "fault: connection closed without a response",
+                )));
+            }
             EngineFault::Silent => std::future::pending().await,
             EngineFault::OutOfTime => self.signed(StatusCode::GATEWAY_TIMEOUT, id),
             EngineFault::Overloaded => self.signed(StatusCode::TOO_MANY_REQUESTS, id),
@@ -140,7 +145,7 @@
         Some(Ok(answer))
     }
 
-    /// A series of events whose data names the item, the event and the version.
+    /// A stream of events whose data holds the item id, the event number and the version.
     fn series(
         self: Arc<Self>,
         record: RecordGuard,
@@ -169,7 +174,7 @@
         response
     }
 
-    /// Says that the request was not run.
+    /// A 503 response stating that the request was not run.
     fn refusal(&self) -> Response<EngineBody> {
         let mut refusal = self.plain(StatusCode::SERVICE_UNAVAILABLE);
         let names = self.wire.headers();
@@ -178,7 +183,7 @@
         refusal
     }
 
-    /// An answer without a body that names the back end.
+    /// A response without a body that carries the instance id.
     pub(super) fn plain(&self, status: StatusCode) -> Response<EngineBody> {
         let mut response = Response::new(full_body(String::new()));
         *response.status_mut() = status;
@@ -189,7 +194,7 @@
         response
     }
 
-    /// An answer to a request, with its id and a signature.
+    /// A response with the request id and a signature.
     fn signed(&self, status: StatusCode, id: &str) -> Response<EngineBody> {
         let names = self.wire.headers();
         let mut response = self.plain(status);
@@ -205,13 +210,13 @@
     }
 }
 
-/// A body `events=N` asks for a series of N events.
+/// Parses a body `events=N`, which requests a stream of N events.
 fn requested_event_count(body: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(body).ok()?;
     text.strip_prefix("events=")?.parse().ok()
 }
 
-/// The text of a header, if it is there.
+/// The value of a header. None if it is missing or not text.
 pub(super) fn text(headers: &HeaderMap, name: &HeaderName) -> Option<String> {
     let value = headers.get(name)?.to_str().ok()?;
     Some(value.to_owned())
--- a/crates/sloetrail-serving-testkit/src/engine/fault.rs
+++ b/crates/sloetrail-serving-testkit/src/engine/fault.rs
@@ -1,31 +1,30 @@
-//! How a back end misbehaves.
+//! Faults of a fake back end.
 
 use std::time::Duration;
 
-/// How a back end misbehaves.
+/// How a back end deviates from normal handling of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EngineFault {
-    /// It does not.
     #[default]
     None,
-    /// It runs a request and closes the connection without an answer.
+    /// Starts to run the request and closes the connection without a response.
     AnswerLost,
-    /// It says that it did not run the request.
+    /// Responds 503 and states that the request was not run.
     Refuses,
-    /// It runs a request and answers 500.
+    /// Starts to run the request and responds 500.
     Fails,
-    /// It runs a request and answers 504: its time is over.
+    /// Starts to run the request and responds 504.
     OutOfTime,
-    /// It runs a request and answers 429, without saying that it did not run it.
+    /// Starts to run the request and responds 429 without stating that it was not run.
     Overloaded,
-    /// It says that the request can never be done.
+    /// Responds 422: the request can never succeed.
     Impossible,
-    /// It breaks each series of events off after so many.
+    /// Breaks off each event stream after this many events.
     BreaksOff(usize),
-    /// It answers under the id of another request.
+    /// Responds with the id of another request.
     WrongRequestId,
-    /// It takes requests and says nothing.
+    /// Accepts the request and never responds.
     Silent,
-    /// It takes the orders and answers nothing, and carries them out so much later.
+    /// Leaves orders unanswered and applies them after this delay.
     OrdersLate(Duration),
 }
--- a/crates/sloetrail-serving-testkit/src/engine/orders.rs
+++ b/crates/sloetrail-serving-testkit/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to use another version, and how they are carried out.
+//! Orders to load another weight version.
 
 use super::connection::EngineBody;
 use super::{EngineFault, FakeEngine, LOAD_TIME, OrderRecord};
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 impl FakeEngine {
-    /// Answers an order, and carries it out if it is in turn.
+    /// Handles an order request, subject to the current fault.
     pub(super) async fn take_order(
         self: Arc<Self>,
         body: &[u8],
@@ -24,13 +24,14 @@
                 tokio::time::sleep(after).await;
                 engine.apply_order(order);
             });
-            return Err(io::Error::other("the answer is lost"));
+            return Err(io::Error::other("fault: order left without a response"));
         }
         let status = self.apply_order(order);
         Ok(self.plain(status))
     }
 
-    /// Carries an order out after the time that loading takes; the answer to it at once.
+    /// Checks an order and returns its status immediately. An accepted order takes effect after
+    /// [`LOAD_TIME`].
     fn apply_order(self: &Arc<Self>, order: ReadOrder) -> StatusCode {
         let mut state = self.state();
         let current = state
--- a/crates/sloetrail-serving-testkit/src/engine/records.rs
+++ b/crates/sloetrail-serving-testkit/src/engine/records.rs
@@ -1,4 +1,4 @@
-//! What a back end writes down of the requests and orders that came.
+//! Records of the requests, events and orders of a fake back end.
 
 use super::FakeEngine;
 use super::connection::text;
@@ -7,61 +7,53 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// A request that began to run.
+/// A request that started to run.
 #[derive(Clone, Debug)]
 pub struct RunRecord {
-    /// The request's id.
     pub id: String,
-    /// Its path.
     pub path: String,
-    /// The number of the last event that the sender held.
+    /// The number of the last event that the sender already had.
     pub last_event: Option<u64>,
-    /// The time that it was given, in milliseconds.
+    /// The value of the deadline header in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// Its rank; the most urgent is 0.
+    /// The most urgent priority is 0.
     pub priority: Option<u64>,
-    /// The tenant that it was sent for.
     pub tenant: Option<String>,
-    /// The names of all its headers.
     pub header_names: BTreeSet<String>,
-    /// When it began.
     pub began: Instant,
-    /// True once its answer was sent whole.
+    /// True once the complete response was sent.
     pub finished: bool,
-    /// True once the sender had gone before the end.
+    /// True if the sender disconnected before the end of the response.
     pub abandoned: bool,
-    /// When it ended, whole or not.
+    /// When the run ended, completed or not.
     pub ended: Option<Instant>,
 }
 
-/// An event that was made.
+/// A generated event of an item.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EventRecord {
-    /// The item's id.
+    /// The id of the item.
     pub id: String,
-    /// Its number.
     pub number: u64,
-    /// The version of the weights that made it.
+    /// The weight version that generated it.
     pub version: u64,
 }
 
-/// An order that came.
+/// An order that was applied or rejected.
 #[derive(Clone, Debug)]
 pub struct OrderRecord {
-    /// The order.
     pub order: ReadOrder,
-    /// When it came.
     pub at: Instant,
-    /// The answer.
+    /// The HTTP status of the response.
     pub status: u16,
 }
 
-/// The record of a run; one that is dropped before its end was abandoned.
+/// Marks the run as ended when dropped, and as abandoned if it had not finished.
 pub(super) struct RecordGuard {
     pub(super) engine: Arc<FakeEngine>,
-    /// Where the record is among those of all runs.
+    /// The index of the record in the runs of the engine.
     pub(super) index: usize,
-    /// The number of the first event that is to be made.
+    /// The number of the first event to generate.
     pub(super) first_event: u64,
 }
 
@@ -75,7 +67,6 @@
 }
 
 impl FakeEngine {
-    /// Writes down that a request began to run.
     pub(super) fn record_run(
         self: &Arc<Self>,
         head: &http::request::Parts,
@@ -105,7 +96,7 @@
         }
     }
 
-    /// Writes down that an event was made, before anybody is told.
+    /// Records an event. Called before the event is sent.
     pub(super) fn record_event(&self, id: &str, number: u64, version: u64) {
         let id = id.to_owned();
         self.state().events.insert(EventRecord {
@@ -115,11 +106,11 @@
         });
     }
 
-    /// Writes down that the answer of a request was sent whole.
+    /// Marks a run as finished after its complete response was sent.
     pub(super) fn record_completion(&self, record: RecordGuard) {
         let mut state = self.state();
         state.runs[record.index].finished = true;
-        // The guard locks the state when it is dropped.
+        // Dropping the guard locks the state.
         drop(state);
     }
 }
--- a/crates/sloetrail-serving-testkit/src/engine/series.rs
+++ b/crates/sloetrail-serving-testkit/src/engine/series.rs
@@ -1,4 +1,4 @@
-//! The events of a run, made one after the other at the engine's pace.
+//! The event stream of a run, generated at the event interval of the engine.
 
 use super::FakeEngine;
 use super::records::RecordGuard;
@@ -7,28 +7,25 @@
 use std::io;
 use std::sync::Arc;
 
-/// A series of events that is being made.
+/// The state of an event stream.
 pub(super) struct Series {
     pub(super) engine: Arc<FakeEngine>,
     pub(super) record: Option<RecordGuard>,
-    /// The item's id.
     pub(super) id: String,
-    /// The number of the next event.
     pub(super) next: u64,
-    /// The number of the last event.
     pub(super) last: u64,
-    /// The version of the weights that made the event before.
+    /// The weight version that generated the previous event.
     pub(super) version: u64,
-    /// Events until the series breaks off; nothing if it does not.
+    /// Events until the stream breaks off; None if it does not.
     pub(super) remaining: Option<usize>,
-    /// The field that tells of a change of the version.
+    /// The name of the event field that announces a new weight version.
     pub(super) field: String,
 }
 
 type Piece = Result<Frame<Bytes>, io::Error>;
 
 impl Series {
-    /// The next event, or the end.
+    /// Generates the next event. None after the last one.
     pub(super) async fn next(mut self) -> Option<(Piece, Self)> {
         if self.next > self.last {
             if let Some(record) = self.record.take() {
@@ -38,7 +35,10 @@
             return None;
         }
         if self.remaining == Some(0) {
-            return Some((Err(io::Error::other("broken off")), self));
+            return Some((
+                Err(io::Error::other("fault: event stream broken off")),
+                self,
+            ));
         }
         self.remaining = self.remaining.map(|remaining| remaining - 1);
         let event_interval = self.engine.state().event_interval;
--- a/crates/sloetrail-serving-testkit/src/keyed.rs
+++ b/crates/sloetrail-serving-testkit/src/keyed.rs
@@ -5,35 +5,30 @@
 use http::{HeaderName, Method};
 use std::time::Duration;
 
-/// What a back end takes for an event.
+/// The time that a back end takes for an event.
 pub const EVENT_INTERVAL: Duration = Duration::from_millis(5);
-/// The table of claims.
 pub const CLAIMS: &str = "sloetrail_claims";
-/// The table that tells when claims are over.
+/// The table that holds the expiry times of claims.
 pub const CLAIM_TIMES: &str = "sloetrail_claim_times";
-/// The usual key.
+/// The default key.
 pub const KEY: &str = "a-reading-of-one-household";
-/// The usual path.
+/// The default path.
 pub const PATH: &str = "/once/reading";
 
-/// The code of a key that is none.
+/// The code for a malformed key.
 pub const INVALID_KEY: u64 = 1006;
-/// The code of a key that was sent with another request.
+/// The code for a key that was used with a different request.
 pub const KEY_REUSED: u64 = 1011;
-/// The code of a claim that the table does not settle.
+/// The code for a claim whose outcome the table did not confirm.
 pub const TABLE_UNAVAILABLE: u64 = 1107;
-/// The code of a request whose outcome is not known.
+/// The code for a key whose request is running or has an unknown outcome.
 pub const KEY_IN_PROGRESS: u64 = 1201;
 
-/// A request with a key; its id is its own.
+/// A request with an idempotency key. Repeats share the key and differ in the id.
 pub struct IdempotentRequest {
-    /// Its id.
     pub id: &'static str,
-    /// Its key.
     pub key: &'static str,
-    /// Where it goes.
     pub path: String,
-    /// What it asks.
     pub body: &'static str,
 }
 
@@ -49,7 +44,6 @@
 }
 
 impl IdempotentRequest {
-    /// The call itself.
     pub fn call(&self, cluster: &Cluster) -> Call {
         let names = cluster.names();
         let name = HeaderName::from_static("idempotency-key");
@@ -60,15 +54,15 @@
         cluster.with_api_key(call)
     }
 
-    /// Sends it to a node and returns its answer.
+    /// Sends the request to a node and returns the response.
     pub async fn send(&self, cluster: &Cluster, node: usize) -> Answer {
         let call = self.call(cluster);
         let answer = call.send(cluster.nodes[node].callers).await;
-        answer.expect("an answer")
+        answer.expect("response to the keyed request")
     }
 }
 
-/// The usual request under another id.
+/// The default request with this id.
 pub fn request_with_id(id: &'static str) -> IdempotentRequest {
     IdempotentRequest {
         id,
@@ -76,24 +70,24 @@
     }
 }
 
-/// How often a path ran.
+/// Runs with this path on all back ends.
 pub fn runs_at(cluster: &Cluster, path: &str) -> usize {
     let runs = cluster.engines.iter().flat_map(|engine| engine.runs());
     runs.filter(|run| run.path == path).count()
 }
 
-/// The answer is a refusal with this code.
+/// Asserts that the answer has this code.
 pub fn assert_code(answer: &Answer, code: u64) {
     assert_eq!(answer.json()["code"], code, "{}", answer.text());
 }
 
-/// The same, and it says that the request did not run.
+/// Asserts that the answer has this code and states that the request was not run.
 pub fn assert_not_run(answer: &Answer, code: u64) {
     assert_code(answer, code);
     assert_eq!(answer.json()["kind"], "not_run");
 }
 
-/// Sends the usual request until it gets its answer.
+/// Sends the default request until it is answered with status 200.
 pub async fn send_until_answered(cluster: &Cluster, node: usize, id: &'static str) -> Answer {
     eventually("the request is answered", || async {
         let answer = request_with_id(id).send(cluster, node).await;
@@ -102,7 +96,7 @@
     .await
 }
 
-/// Waits until a key is claimed.
+/// Waits until the table holds a claim.
 pub async fn wait_for_claim(cluster: &Cluster) {
     eventually("the claim is written", || async {
         (!cluster.table.rows(CLAIMS).is_empty()).then_some(())
@@ -110,7 +104,7 @@
     .await;
 }
 
-/// Waits until the usual request runs.
+/// Waits until the default request runs.
 pub async fn wait_until_running(cluster: &Cluster) {
     eventually("the request runs", || async {
         (runs_at(cluster, PATH) > 0).then_some(())
--- a/crates/sloetrail-serving-testkit/src/lib.rs
+++ b/crates/sloetrail-serving-testkit/src/lib.rs
@@ -1,14 +1,17 @@
-//! Not product: what the serving node needs around it in tests.
+//! Test support for the serving node; not part of the product.
 //!
-//! [`table::MemoryTable`] is the durable table with faults to switch on, reached through
-//! one [`table::TableLink`] a node. [`engine::FakeEngine`] is a back end that runs
-//! items and live requests and writes down what it was asked. [`cluster::Cluster`] puts
-//! nodes, table and back ends together; each node has a runtime of its own, so that it
-//! can be killed at any moment. [`blackhole_proxy::BlackholeProxy`] and
-//! [`congested_proxy::CongestedProxy`] stand between two of them. [`usage::ReportRecorder`] takes
-//! reports of usage, [`supply::SupplyRecorder`] orders for engines. [`client`] makes calls as
-//! callers and trainers do, [`keyed::Keyed`] those with idempotency keys. [`stopwatch::Stopwatch`] tells how long something took, without
-//! what a busy machine adds.
+//! - [`cluster::Cluster`] combines nodes, a table and back ends. Each node has its own runtime,
+//!   so that it can be killed at any time.
+//! - [`table::MemoryTable`] is an in-memory durable table with faults. Each node reaches it
+//!   through its own [`table::TableLink`].
+//! - [`engine::FakeEngine`] is a back end that runs items and live requests and records them.
+//! - [`blackhole_proxy::BlackholeProxy`] and [`congested_proxy::CongestedProxy`] inject network
+//!   faults between two of these.
+//! - [`usage::ReportRecorder`] records usage reports, [`supply::SupplyRecorder`] orders for
+//!   engines.
+//! - [`client`] makes calls as callers and trainers do, [`keyed::IdempotentRequest`] calls with
+//!   idempotency keys.
+//! - [`stopwatch::Stopwatch`] measures time without the delays of a busy machine.
 
 pub mod blackhole_proxy;
 pub mod client;
--- a/crates/sloetrail-serving-testkit/src/stopwatch.rs
+++ b/crates/sloetrail-serving-testkit/src/stopwatch.rs
@@ -1,10 +1,8 @@
-//! Time as a test may hold it against the code under test: without what a busy machine adds.
+//! Time measurement that excludes scheduling delays of a busy machine.
 //!
-//! Bounds on how long something takes fail on a busy machine for reasons that are none of
-//! the code's. A [`Stopwatch`] lets several tasks sleep for a moment, again and again, and
-//! counts what each sleep took, but no more than a little beyond the moment: the rest is
-//! time in which the machine did not run what was due. On an idle machine it shows what a
-//! clock shows.
+//! A [`Stopwatch`] runs several tasks that sleep repeatedly and sum the time of their sleeps.
+//! Each sleep counts up to a maximum: the excess is time in which the machine did not run due
+//! tasks. On an idle machine the result matches a clock.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,23 +10,23 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// How long each sleep is asked to take.
+/// The requested length of each sleep.
 const SLEEP: Duration = Duration::from_millis(1);
-/// What a sleep counts at most. Timers of an idle machine are up to 2 ms late.
+/// The most that one sleep counts; above the timer lateness of an idle machine (2 ms).
 const MAX_COUNTED_SLEEP: Duration = Duration::from_millis(5);
-/// Tasks that sleep: a delay may strike one thread and spare the others.
+/// Several tasks, as a delay may affect only some threads.
 const SLEEPER_COUNT: usize = 4;
 
-/// A watch that stands still while the machine does not run what is due.
+/// Measures elapsed time, except while the machine does not run due tasks.
 pub struct Stopwatch {
-    /// What each task has counted, in microseconds.
+    /// The time that each task has counted, in microseconds.
     counts: Vec<Arc<AtomicU64>>,
-    /// They end with the watch.
+    /// Aborted when the stopwatch is dropped.
     _sleepers: JoinSet<()>,
 }
 
 impl Stopwatch {
-    /// Starts a watch on the current runtime.
+    /// Starts a stopwatch on the current runtime.
     pub fn start() -> Self {
         let mut sleepers = JoinSet::new();
         let mut counts = Vec::new();
@@ -43,7 +41,7 @@
         }
     }
 
-    /// The time since the start, less what the machine has added for any of the tasks.
+    /// The time since the start: the lowest count of all tasks, which excludes the most delay.
     pub fn elapsed(&self) -> Duration {
         let counts = self.counts.iter();
         let min_us = counts.map(|count| count.load(Ordering::SeqCst)).min();
--- a/crates/sloetrail-serving-testkit/src/supply.rs
+++ b/crates/sloetrail-serving-testkit/src/supply.rs
@@ -1,5 +1,4 @@
-//! Whoever starts engines and takes them away, as orders see it: they are written down and
-//! carried out by nobody.
+//! An engine supply that records orders without carrying them out.
 
 use async_trait::async_trait;
 use sloetrail_serving::engine_supply::{EngineSupply, SupplyAnswer, SupplyOrder};
@@ -7,18 +6,16 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// An order that came.
+/// A received order.
 #[derive(Clone, Debug)]
 pub struct SupplyRecord {
-    /// The order.
     pub order: SupplyOrder,
-    /// Who gave it.
+    /// The lease holder that gave the order.
     pub holder: LeaseHolder,
-    /// When it came.
     pub at: Instant,
 }
 
-/// Writes orders down.
+/// Records orders and accepts them unless told otherwise.
 pub struct SupplyRecorder {
     state: Mutex<State>,
 }
@@ -29,7 +26,6 @@
 }
 
 impl SupplyRecorder {
-    /// A book without orders, which accepts them.
     pub fn new() -> Arc<Self> {
         Arc::new(Self {
             state: Mutex::new(State {
@@ -39,12 +35,12 @@
         })
     }
 
-    /// How the next order is answered; those after it are accepted again.
+    /// Sets the answer to the next order. Later orders are accepted again.
     pub fn set_next_answer(&self, answer: SupplyAnswer) {
         self.state().next_answer = Some(answer);
     }
 
-    /// Every order that came.
+    /// All received orders, oldest first.
     pub fn records(&self) -> Vec<SupplyRecord> {
         self.state().records.clone()
     }
--- a/crates/sloetrail-serving-testkit/src/table.rs
+++ b/crates/sloetrail-serving-testkit/src/table.rs
@@ -1,4 +1,4 @@
-//! The durable table in memory, with faults.
+//! An in-memory durable table with faults.
 
 mod link;
 
@@ -13,21 +13,21 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// What becomes of a transaction.
+/// How the table deviates from normal handling of a transaction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CommitFault {
-    /// It is judged and answered.
     #[default]
     None,
-    /// It is done, and the answer is lost.
+    /// The transaction is applied and the response is lost.
     DoneUnanswered,
-    /// It is done this much later if its conditions still hold, and not answered.
+    /// The transaction is applied after this delay if its conditions still hold; the response is
+    /// lost.
     DoneLate(Duration),
-    /// It is lost on the way.
+    /// The request is lost before it is applied.
     RequestLost,
-    /// It is refused.
+    /// The transaction is rejected as not done.
     Refused,
-    /// It is done and answered after this time.
+    /// The transaction is applied and answered after this delay.
     Slow(Duration),
 }
 
@@ -39,14 +39,14 @@
     history_lost_before: u64,
     commits: usize,
     fault: CommitFault,
-    /// The fault applies to this many commits; nothing means all.
+    /// Commits that the fault still applies to; None means all.
     fault_count: Option<usize>,
-    /// The fault applies to commits that write to this table; nothing means all.
+    /// Restricts the fault to commits that write to this table; None means all tables.
     fault_table: Option<String>,
     down: bool,
 }
 
-/// The table.
+/// The rows of all tables, their change history, and the faults of commits.
 pub struct MemoryTable {
     began: Instant,
     clock_offset_ms: AtomicU64,
@@ -55,7 +55,6 @@
 }
 
 impl MemoryTable {
-    /// An empty table.
     pub fn new() -> Arc<Self> {
         let (changed, _) = watch::channel(0);
         Arc::new(Self {
@@ -66,19 +65,18 @@
         })
     }
 
-    /// Writes a row as the operator or a back end does: always answered.
+    /// Writes a row as an operator or back end, without faults.
     pub fn write(&self, address: RowAddress, value: impl Into<Bytes>) {
         let transaction = Transaction::new().put(address, value);
         self.apply(&transaction);
     }
 
-    /// Deletes a row.
+    /// Deletes a row as an operator or back end, without faults.
     pub fn delete(&self, address: RowAddress) {
         let transaction = Transaction::new().delete(address);
         self.apply(&transaction);
     }
 
-    /// Every row of a table.
     pub fn rows(&self, table: &str) -> Vec<Row> {
         let state = self.state();
         let rows = state.rows.iter();
@@ -91,7 +89,7 @@
             .collect()
     }
 
-    /// What becomes of the next `count` transactions of nodes; nothing means all.
+    /// Applies a fault to the next `count` transactions of nodes; to all if None.
     pub fn set_commit_fault(&self, fault: CommitFault, count: Option<usize>) {
         let mut state = self.state();
         state.fault = fault;
@@ -99,24 +97,24 @@
         state.fault_table = None;
     }
 
-    /// The same for transactions that write to one table.
+    /// Applies a fault to the next `count` transactions of nodes that write to `table`.
     pub fn set_commit_fault_on(&self, table: &str, fault: CommitFault, count: usize) {
         self.set_commit_fault(fault, Some(count));
         self.state().fault_table = Some(table.to_owned());
     }
 
-    /// How many of the faulty transactions are still to come; nothing means all.
+    /// Transactions that the fault still applies to; None means all.
     pub fn remaining_faults(&self) -> Option<usize> {
         self.state().fault_count
     }
 
-    /// Whether the table answers anybody.
+    /// Sets whether the table is unavailable to all nodes.
     pub fn set_down(&self, down: bool) {
         self.state().down = down;
         self.changed.send_modify(|_| {});
     }
 
-    /// Forgets all changes so far.
+    /// Drops the change history, so that reads of earlier changes fail.
     pub fn forget_history(&self) {
         let mut state = self.state();
         state.history_lost_before = state.version;
@@ -125,14 +123,13 @@
         self.changed.send_modify(|_| {});
     }
 
-    /// Puts the table's clock forward.
     pub fn advance_clock(&self, time: Duration) {
         let milliseconds = time.as_millis() as u64;
         self.clock_offset_ms
             .fetch_add(milliseconds, Ordering::SeqCst);
     }
 
-    /// Transactions of nodes that were judged.
+    /// Transactions that nodes sent, including those that a fault loses.
     pub fn commits(&self) -> usize {
         self.state().commits
     }
--- a/crates/sloetrail-serving-testkit/src/table/link.rs
+++ b/crates/sloetrail-serving-testkit/src/table/link.rs
@@ -1,4 +1,4 @@
-//! The way of one node to the table.
+//! The connection of one node to the table.
 
 use super::{CommitFault, MemoryTable};
 use async_trait::async_trait;
@@ -14,23 +14,23 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long an answer takes where a test does not say otherwise, in milliseconds.
+/// The default response time in milliseconds.
 const ANSWER_MS: u64 = 1;
-/// How long a call hangs that is not answered.
+/// How long an unanswered call hangs before it fails.
 const TIMEOUT: Duration = Duration::from_millis(150);
-/// The rows of a page: few enough that tests with many rows read several.
+/// Rows per page; low, so that tests with many rows read several pages.
 const PAGE_ROWS: usize = 50;
 
-/// What has gone over a link to one table.
+/// Counts of the calls over a link to one table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkUse {
-    /// Transactions that write to it.
+    /// Transactions that write to the table.
     pub writes: usize,
-    /// Reads of ranges.
+    /// Range scans.
     pub reads: usize,
 }
 
-/// One node's way to the table; it can be cut.
+/// The connection of one node to the table. It can be slowed, blocked or cut.
 pub struct TableLink {
     table: Arc<MemoryTable>,
     uses: Mutex<BTreeMap<String, LinkUse>>,
@@ -40,7 +40,6 @@
 }
 
 impl TableLink {
-    /// A way to a table.
     pub fn new(table: Arc<MemoryTable>) -> Arc<Self> {
         let (blocked, _) = watch::channel(false);
         Arc::new(Self {
@@ -52,7 +51,7 @@
         })
     }
 
-    /// What has gone over the link to a table, calls that were carried for others included.
+    /// Calls over this link to a table, including calls relayed for other nodes.
     pub fn uses_of(&self, table: &str) -> LinkUse {
         let uses = self.uses.lock().expect("not poisoned");
         uses.get(table).copied().unwrap_or_default()
@@ -71,26 +70,26 @@
         uses.entry(table.to_owned()).or_default().reads += 1;
     }
 
-    /// How long answers take from now on.
+    /// Sets how long the table takes to respond.
     pub fn set_answer_time(&self, time: Duration) {
         let milliseconds = time.as_millis() as u64;
         self.answer_ms.store(milliseconds, Ordering::SeqCst);
     }
 
-    /// Whether calls are blocked: they are answered once they no longer are.
+    /// Sets whether calls are blocked. Blocked calls continue once unblocked.
     pub fn set_blocked(&self, blocked: bool) {
         self.blocked.send_replace(blocked);
     }
 
     async fn delay_answer(&self) {
         let mut blocked = self.blocked.subscribe();
-        // The sender lives as long as the link.
+        // Cannot fail: the link owns the sender.
         let _ = blocked.wait_for(|blocked| !*blocked).await;
         let milliseconds = self.answer_ms.load(Ordering::SeqCst);
         tokio::time::sleep(Duration::from_millis(milliseconds)).await;
     }
 
-    /// Whether the way is cut.
+    /// Sets whether the link is cut. Calls over a cut link hang and then fail.
     pub fn set_cut(&self, cut: bool) {
         self.cut.store(cut, Ordering::SeqCst);
         self.table.changed.send_modify(|_| {});
@@ -224,13 +223,13 @@
                 self.delay_answer().await;
                 return self.changes_since(table, since.0);
             }
-            // Either something changes or the time is over; the loop looks again.
+            // On a change or at the deadline, the loop checks again.
             let _ = tokio::time::timeout_at(deadline, changed.changed()).await;
         }
     }
 }
 
-/// A node's way to the table as a transport, which gives a call up after a time.
+/// A [`TableLink`] as a transport that applies timeouts to calls.
 pub struct LinkTransport(pub Arc<TableLink>);
 
 #[async_trait]
@@ -270,7 +269,7 @@
     }
 }
 
-/// As the platform's store demands of a transaction that does not say otherwise.
+/// The platform store requires this of transactions by default.
 fn is_single_partition(transaction: &Transaction) -> bool {
     let mut addresses = transaction.addresses();
     let Some(first) = addresses.next() else {
--- a/crates/sloetrail-serving-testkit/src/usage.rs
+++ b/crates/sloetrail-serving-testkit/src/usage.rs
@@ -1,4 +1,4 @@
-//! Whoever takes reports of usage, and writes down what it was sent.
+//! A recipient of usage reports that records them.
 
 use async_trait::async_trait;
 use sloetrail_serving::lease_holder::LeaseHolder;
@@ -8,34 +8,30 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// What becomes of a report.
+/// How the recipient deviates from accepting a report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportFault {
-    /// It is taken and answered.
     #[default]
     None,
-    /// It is taken, and the answer is lost.
+    /// The report is accepted and the response is lost.
     AcceptedUnanswered,
-    /// It is not taken.
+    /// The recipient is unavailable.
     Away,
-    /// It is refused for good.
+    /// The report is rejected permanently.
     Refused,
 }
 
-/// A report that came.
+/// A received report.
 #[derive(Clone, Debug)]
 pub struct ReportRecord {
-    /// The report.
     pub report: UsageReport,
-    /// Who sent it.
     pub sender: LeaseHolder,
-    /// When it came.
     pub at: Instant,
-    /// True if it was taken.
+    /// True if the report was accepted.
     pub taken: bool,
 }
 
-/// Takes reports and writes them down.
+/// Records reports and accepts them, subject to the current fault.
 #[derive(Default)]
 pub struct ReportRecorder {
     state: Mutex<State>,
@@ -48,38 +44,40 @@
 }
 
 impl ReportRecorder {
-    /// A book without reports.
     pub fn new() -> Arc<Self> {
         Arc::default()
     }
 
-    /// What becomes of reports from now on.
+    /// Applies a fault to all further reports.
     pub fn set_fault(&self, fault: ReportFault) {
         self.state().fault = fault;
     }
 
-    /// Every report that came.
+    /// All received reports, oldest first.
     pub fn records(&self) -> Vec<ReportRecord> {
         self.state().records.clone()
     }
 
-    /// The reports that were taken, by window.
+    /// The accepted reports by window.
     ///
     /// # Panics
     ///
-    /// If two reports of one window differ.
+    /// If two accepted reports of one window differ.
     pub fn taken(&self) -> BTreeMap<WindowNumber, UsageReport> {
         let mut taken = BTreeMap::new();
         for record in self.records().into_iter().filter(|record| record.taken) {
             let before = taken.insert(record.report.window, record.report.clone());
             if let Some(before) = before {
-                assert_eq!(before, record.report, "one window, two reports");
+                assert_eq!(
+                    before, record.report,
+                    "accepted reports of one window differ"
+                );
             }
         }
         taken
     }
 
-    /// Requests of a tenant in all reports that were taken.
+    /// Requests of a tenant in all accepted reports.
     pub fn requests_of(&self, tenant: &str) -> u64 {
         let taken = self.taken();
         let of_tenant = taken.values().filter_map(|report| {
--- a/crates/sloetrail-serving-testkit/src/wire.rs
+++ b/crates/sloetrail-serving-testkit/src/wire.rs
@@ -1,68 +1,61 @@
-//! How an engine stand-in reads orders and tells its status.
+//! The wire format in which a fake engine reads orders and reports its status.
 
 use serde_json::{Value, json};
 use sloetrail_serving::dialect::HeaderNames;
 use std::collections::BTreeMap;
 
-/// An order as an engine read it.
+/// An order as parsed by an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadOrder {
-    /// The model.
     pub model: String,
-    /// The version.
     pub version: u64,
-    /// Who gives the order.
+    /// The lease holder that gives the order.
     pub holder: String,
-    /// The fence.
     pub fence: u64,
-    /// How many orders the engine must have taken.
+    /// The order is valid only if the engine has accepted this many orders before.
     pub orders_taken: u64,
 }
 
-/// The engine's side of a dialect.
+/// The engine side of a dialect.
 pub trait EngineWire: Send + Sync {
-    /// The names of headers.
     fn headers(&self) -> HeaderNames;
-    /// The path that tells the status.
+    /// The path of the status endpoint.
     fn status_path(&self) -> String;
-    /// The status.
+    /// The body of a status response.
     fn status(&self, versions: &BTreeMap<String, u64>, busy: bool, orders_taken: u64) -> Value;
-    /// The path that takes orders.
+    /// The path of the order endpoint.
     fn order_path(&self) -> String;
-    /// Reads an order.
+    /// Parses an order. None if it is malformed.
     fn order(&self, body: &[u8]) -> Option<ReadOrder>;
-    /// The row that lists a back end, with its table and key.
+    /// The table and value of the directory row of a back end. The key is the id of the back end.
     fn row(&self, listing: &Listing) -> (String, Value);
-    /// The key of the row that publishes a version, and its value.
+    /// The key and value of the row that publishes a version.
     fn published(&self, model: &str, version: u64) -> (String, Value);
-    /// The key of the row that asks for the evacuation of a zone.
+    /// The key of the row that requests the evacuation of a zone.
     fn evacuation(&self, zone: &str) -> String;
 }
 
-/// What a back end lists of itself.
+/// The contents of the directory row of a back end.
 #[derive(Clone, Debug)]
 pub struct Listing {
-    /// Its service.
     pub service: String,
-    /// Where it listens.
     pub address: String,
-    /// Its zone.
     pub zone: String,
-    /// Requests that it runs at a time.
+    /// The maximum number of concurrent requests.
     pub slots: usize,
-    /// True if it takes no new work.
+    /// True if the back end accepts no new work.
     pub draining: bool,
-    /// How much longer it is cold, in milliseconds.
+    /// The rest of the cold period in milliseconds.
     pub cold_left_ms: u64,
-    /// The versions of its models.
+    /// The weight version of each model.
     pub versions: BTreeMap<String, u64>,
-    /// The version of its software.
+    /// The software version.
     pub software: String,
-    /// When this life began, in Unix milliseconds.
+    /// Start of this incarnation in Unix milliseconds.
     pub started_ms: u64,
 }
 
-/// The product's own dialect.
+/// The native dialect.
 pub struct NativeWire;
 
 impl EngineWire for NativeWire {
