--- a/crates/sloetrail-serving-testkit/src/engine/connection.rs
+++ b/crates/sloetrail-serving-testkit/src/engine/connection.rs
@@ -1,8 +1,8 @@
-//! Connections to a back end, and how it answers the requests on them.
+//! HTTP connections to a fake back end and the responses to its requests.
 
 use super::records::RecordGuard;
 use super::series::Series;
-use super::{EngineFault, EngineStandIn};
+use super::{EngineFault, FakeEngine};
 use bytes::Bytes;
 use futures_util::stream;
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Request, Response, StatusCode};
@@ -17,11 +17,11 @@
 use std::time::Instant;
 use tokio::net::TcpListener;
 
-/// The body of an answer, at once or as a series.
+/// A response body, either complete or a stream of events.
 pub(super) type EngineBody = UnsyncBoxBody<Bytes, io::Error>;
 
-impl EngineStandIn {
-    /// Answers connections until the back end is crashed.
+impl FakeEngine {
+    /// Serves connections until the back end crashes.
     pub(super) async fn serve(self: Arc<Self>, listener: TcpListener) {
         loop {
             let accepted = tokio::select! {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Answers a request that is meant for this instance.
+    /// Handles a request. Responds 421 if another instance is expected.
     async fn answer(
         self: Arc<Self>,
         request: Request<Incoming>,
@@ -62,7 +62,7 @@
             return Ok(self.plain(StatusCode::MISDIRECTED_REQUEST));
         }
         if head.method == Method::GET && head.uri.path() == self.wire.status_path() {
-            return Ok(self.tell_status());
+            return Ok(self.status_response());
         }
         if head.uri.path() == self.wire.order_path() {
             return self.take_order(&body).await;
@@ -70,15 +70,15 @@
         self.run(head, body).await
     }
 
-    fn tell_status(&self) -> Response<EngineBody> {
+    fn status_response(&self) -> Response<EngineBody> {
         let state = self.state();
         let status = self
             .wire
             .status(&state.versions, state.busy, state.orders_taken);
-        Response::new(whole(status.to_string()))
+        Response::new(full_body(status.to_string()))
     }
 
-    /// Runs a request, unless a fault keeps it from that.
+    /// Runs a request, subject to the current fault.
     async fn run(
         self: Arc<Self>,
         head: http::request::Parts,
@@ -91,24 +91,24 @@
         if fault == EngineFault::Refuses {
             return Ok(self.refusal());
         }
-        let record = self.note_run(&head, &id);
-        if self.state().lethal.as_ref() == Some(&body) {
-            // It ends whether or not somebody still waits for the answer.
-            let (engine, pace) = (Arc::clone(&self), self.state().pace);
+        let record = self.record_run(&head, &id);
+        if self.state().crash_body.as_ref() == Some(&body) {
+            // A separate task, so that it crashes even if the sender disconnects.
+            let (engine, event_interval) = (Arc::clone(&self), self.state().event_interval);
             let crashing = tokio::spawn(async move {
-                tokio::time::sleep(pace).await;
+                tokio::time::sleep(event_interval).await;
                 engine.crash();
             });
             let _ = crashing.await;
             return Err(io::Error::other("the back end has crashed"));
         }
-        if let Some(outcome) = self.outcome_of(fault, &id).await {
+        if let Some(outcome) = self.fault_outcome(fault, &id).await {
             return outcome;
         }
-        let Some(events) = wanted_events(&body) else {
-            let pace = self.state().pace;
-            tokio::time::sleep(pace).await;
-            self.note_end(record);
+        let Some(events) = requested_event_count(&body) else {
+            let event_interval = self.state().event_interval;
+            tokio::time::sleep(event_interval).await;
+            self.record_completion(record);
             return Ok(self.signed(StatusCode::OK, &id));
         };
         let break_after = match fault {
@@ -118,20 +118,25 @@
         Ok(self.series(record, &id, events, break_after))
     }
 
-    /// What a fault makes of a request that has begun to run; nothing if it runs on.
-    async fn outcome_of(
+    /// The result that a fault causes for a request that started to run. None if the run
+    /// continues.
+    async fn fault_outcome(
         &self,
         fault: EngineFault,
         id: &str,
     ) -> Option<Result<Response<EngineBody>, io::Error>> {
         let answer = match fault {
-            EngineFault::AnswerLost => return Some(Err(io::Error::other("the answer is lost"))),
+            EngineFault::AnswerLost => {
+                return Some(Err(io::Error::other(
+                    "fault: connection closed without a response",
+                )));
+            }
             EngineFault::Silent => std::future::pending().await,
             EngineFault::OutOfTime => self.signed(StatusCode::GATEWAY_TIMEOUT, id),
             EngineFault::Overloaded => self.signed(StatusCode::TOO_MANY_REQUESTS, id),
             EngineFault::Fails => self.signed(StatusCode::INTERNAL_SERVER_ERROR, id),
             EngineFault::Impossible => self.signed(StatusCode::UNPROCESSABLE_ENTITY, id),
-            EngineFault::Crossed => self.signed(StatusCode::OK, "another"),
+            EngineFault::WrongRequestId => self.signed(StatusCode::OK, "another"),
             EngineFault::None
             | EngineFault::Refuses
             | EngineFault::BreaksOff(_)
@@ -140,7 +145,7 @@
         Some(Ok(answer))
     }
 
-    /// A series of events whose data names the item, the event and the version.
+    /// A stream of events whose data holds the item id, the event number and the version.
     fn series(
         self: Arc<Self>,
         record: RecordGuard,
@@ -161,7 +166,7 @@
             next: first,
             last: events,
             version,
-            left: break_after,
+            remaining: break_after,
             field: names.weight_version.as_str().to_owned(),
         };
         let pieces = stream::unfold(source, Series::next);
@@ -169,7 +174,7 @@
         response
     }
 
-    /// Says that the request was not run.
+    /// A 503 response stating that the request was not run.
     fn refusal(&self) -> Response<EngineBody> {
         let mut refusal = self.plain(StatusCode::SERVICE_UNAVAILABLE);
         let names = self.wire.headers();
@@ -178,9 +183,9 @@
         refusal
     }
 
-    /// An answer without a body that names the back end.
+    /// A response without a body that carries the instance id.
     pub(super) fn plain(&self, status: StatusCode) -> Response<EngineBody> {
-        let mut response = Response::new(whole(String::new()));
+        let mut response = Response::new(full_body(String::new()));
         *response.status_mut() = status;
         let names = self.wire.headers();
         if let Ok(id) = HeaderValue::from_str(&self.id) {
@@ -189,11 +194,11 @@
         response
     }
 
-    /// An answer to a request, with its id and a signature.
+    /// A response with the request id and a signature.
     fn signed(&self, status: StatusCode, id: &str) -> Response<EngineBody> {
         let names = self.wire.headers();
         let mut response = self.plain(status);
-        *response.body_mut() = whole(format!("answer to {id}"));
+        *response.body_mut() = full_body(format!("answer to {id}"));
         let headers = response.headers_mut();
         if let Ok(echo) = HeaderValue::from_str(id) {
             headers.insert(names.request_id, echo);
@@ -205,19 +210,19 @@
     }
 }
 
-/// A body `events=N` asks for a series of N events.
-fn wanted_events(body: &[u8]) -> Option<u64> {
+/// Parses a body `events=N`, which requests a stream of N events.
+fn requested_event_count(body: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(body).ok()?;
     text.strip_prefix("events=")?.parse().ok()
 }
 
-/// The text of a header, if it is there.
+/// The value of a header. None if it is missing or not text.
 pub(super) fn text(headers: &HeaderMap, name: &HeaderName) -> Option<String> {
     let value = headers.get(name)?.to_str().ok()?;
     Some(value.to_owned())
 }
 
-fn whole(text: String) -> EngineBody {
+fn full_body(text: String) -> EngineBody {
     let never = |never: Infallible| match never {};
     Full::new(Bytes::from(text)).map_err(never).boxed_unsync()
 }
--- a/crates/sloetrail-serving-testkit/src/engine/series.rs
+++ b/crates/sloetrail-serving-testkit/src/engine/series.rs
@@ -1,48 +1,48 @@
-//! The events of a run, made one after the other at the engine's pace.
+//! The event stream of a run, generated at the event interval of the engine.
 
-use super::EngineStandIn;
+use super::FakeEngine;
 use super::records::RecordGuard;
 use bytes::Bytes;
 use hyper::body::Frame;
 use std::io;
 use std::sync::Arc;
 
-/// A series of events that is being made.
+/// The state of an event stream.
 pub(super) struct Series {
-    pub(super) engine: Arc<EngineStandIn>,
+    pub(super) engine: Arc<FakeEngine>,
     pub(super) record: Option<RecordGuard>,
-    /// The item's id.
     pub(super) id: String,
-    /// The number of the next event.
     pub(super) next: u64,
-    /// The number of the last event.
     pub(super) last: u64,
-    /// The version of the weights that made the event before.
+    /// The weight version that generated the previous event.
     pub(super) version: u64,
-    /// Events until the series breaks off; nothing if it does not.
-    pub(super) left: Option<usize>,
-    /// The field that tells of a change of the version.
+    /// Events until the stream breaks off; None if it does not.
+    pub(super) remaining: Option<usize>,
+    /// The name of the event field that announces a new weight version.
     pub(super) field: String,
 }
 
 type Piece = Result<Frame<Bytes>, io::Error>;
 
 impl Series {
-    /// The next event, or the end.
+    /// Generates the next event. None after the last one.
     pub(super) async fn next(mut self) -> Option<(Piece, Self)> {
         if self.next > self.last {
             if let Some(record) = self.record.take() {
                 let engine = Arc::clone(&self.engine);
-                engine.note_end(record);
+                engine.record_completion(record);
             }
             return None;
         }
-        if self.left == Some(0) {
-            return Some((Err(io::Error::other("broken off")), self));
+        if self.remaining == Some(0) {
+            return Some((
+                Err(io::Error::other("fault: event stream broken off")),
+                self,
+            ));
         }
-        self.left = self.left.map(|left| left - 1);
-        let pace = self.engine.state().pace;
-        tokio::time::sleep(pace).await;
+        self.remaining = self.remaining.map(|remaining| remaining - 1);
+        let event_interval = self.engine.state().event_interval;
+        tokio::time::sleep(event_interval).await;
         let version = self.engine.current_version();
         let mut text = String::new();
         if version != self.version {
@@ -51,7 +51,7 @@
         }
         let (number, id) = (self.next, &self.id);
         text.push_str(&format!("id: {number}\ndata: {id}/{number}/{version}\n\n"));
-        self.engine.note_event(id, number, version);
+        self.engine.record_event(id, number, version);
         self.next += 1;
         Some((Ok(Frame::data(Bytes::from(text))), self))
     }
--- a/crates/sloetrail-serving/tests/configuration.rs
+++ b/crates/sloetrail-serving/tests/configuration.rs
@@ -161,7 +161,7 @@
     wait_for_status(&cluster, 0, "/slow/x", 200).await;
     // Longer than the node accepts connections after the stop signal.
     for engine in &cluster.engines {
-        engine.set_pace(Duration::from_millis(2_900));
+        engine.set_event_interval(Duration::from_millis(2_900));
     }
     let address = cluster.nodes[0].callers;
     let names = cluster.names();
--- a/crates/sloetrail-serving/tests/crashing_items.rs
+++ b/crates/sloetrail-serving/tests/crashing_items.rs
@@ -16,7 +16,7 @@
 
 async fn add_engine(cluster: &mut Cluster) {
     let engine = cluster.add_engine(PACE).await;
-    engine.set_lethal(format!("events={LETHAL_EVENTS}"));
+    engine.set_crash_body(format!("events={LETHAL_EVENTS}"));
 }
 
 async fn fragile_cluster() -> Cluster {
@@ -48,7 +48,7 @@
             match engine.service.as_str() {
                 "application" => {
                     let application = cluster.add_application("zone-a").await;
-                    application.set_lethal("score");
+                    application.set_crash_body("score");
                 }
                 _ => add_engine(cluster).await,
             }
@@ -119,7 +119,7 @@
     let mut cluster = native_cluster();
     for _ in 0..3 {
         let application = cluster.add_application("zone-a").await;
-        application.set_lethal("score");
+        application.set_crash_body("score");
     }
     cluster.add_engine(PACE).await;
     for name in ["node-1", "node-2"] {
--- a/crates/sloetrail-serving/tests/crashing_requests.rs
+++ b/crates/sloetrail-serving/tests/crashing_requests.rs
@@ -111,7 +111,7 @@
             .filter(|engine| !engine.has_crashed())
             .collect();
         for engine in &sound {
-            engine.set_pace(Duration::from_millis(60));
+            engine.set_event_interval(Duration::from_millis(60));
         }
         let asking = (0..8).map(|number| {
             let id = format!("sound-{round}-{number}");
@@ -139,7 +139,7 @@
             break;
         }
         let engines = fragile.cluster.engines.iter();
-        engines.for_each(|engine| engine.set_pace(Duration::from_millis(40)));
+        engines.for_each(|engine| engine.set_event_interval(Duration::from_millis(40)));
         let id = format!("leaves-{number}");
         let asking = fragile.start_request(0, "/once/x", &id, LETHAL);
         let outcome = tokio::time::timeout(Duration::from_millis(20), asking).await;
--- a/crates/sloetrail-serving/tests/live.rs
+++ b/crates/sloetrail-serving/tests/live.rs
@@ -5,7 +5,7 @@
 
 use sloetrail_serving_testkit::client::Call;
 use sloetrail_serving_testkit::cluster::{Cluster, HOST, count_ids, eventually};
-use sloetrail_serving_testkit::engine::{EngineFault, EngineStandIn};
+use sloetrail_serving_testkit::engine::{EngineFault, FakeEngine};
 use sloetrail_serving_testkit::stopwatch::Stopwatch;
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 const EVENT_INTERVAL: Duration = Duration::from_millis(5);
 
-async fn cluster_with(applications: usize) -> (Cluster, Vec<Arc<EngineStandIn>>) {
+async fn cluster_with(applications: usize) -> (Cluster, Vec<Arc<FakeEngine>>) {
     let mut cluster = native_cluster();
     let mut started = Vec::new();
     for _ in 0..applications {
@@ -25,7 +25,7 @@
     (cluster, started)
 }
 
-fn runs_of(applications: &[Arc<EngineStandIn>], id: &str) -> usize {
+fn runs_of(applications: &[Arc<FakeEngine>], id: &str) -> usize {
     let runs = applications
         .iter()
         .flat_map(|application| application.runs());
@@ -33,7 +33,7 @@
 }
 
 /// Returns the application that an idle node chooses first, so that a fault set there is met.
-async fn preferred(cluster: &Cluster, applications: &[Arc<EngineStandIn>]) -> Arc<EngineStandIn> {
+async fn preferred(cluster: &Cluster, applications: &[Arc<FakeEngine>]) -> Arc<FakeEngine> {
     let id = "which";
     live(cluster, 0, "/live/x", id).await.expect("an answer");
     let mut applications = applications.iter();
@@ -74,7 +74,7 @@
 async fn idempotent_requests_are_retried_at_another_back_end() {
     let faults = [
         EngineFault::AnswerLost,
-        EngineFault::Crossed,
+        EngineFault::WrongRequestId,
         EngineFault::Fails,
         EngineFault::Overloaded,
         EngineFault::Silent,
@@ -100,7 +100,7 @@
 async fn non_idempotent_requests_run_at_most_once() {
     let faults = [
         EngineFault::AnswerLost,
-        EngineFault::Crossed,
+        EngineFault::WrongRequestId,
         EngineFault::Fails,
         EngineFault::Overloaded,
         EngineFault::Refuses,
@@ -157,7 +157,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_of_disconnected_callers_are_closed() {
     let (cluster, applications) = cluster_with(1).await;
-    applications[0].set_pace(Duration::from_secs(5));
+    applications[0].set_event_interval(Duration::from_secs(5));
     let names = cluster.names();
     let call = Call::new(http::Method::POST, HOST, "/live/x").header(&names.request_id, "r1");
     let address = cluster.nodes[0].callers;
@@ -185,7 +185,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn split_route_follows_its_weights() {
     let (mut cluster, _applications) = cluster_with(1).await;
-    let other = EngineStandIn::start(
+    let other = FakeEngine::start(
         Arc::new(sloetrail_serving_testkit::wire::NativeWire),
         "other",
         "zone-a",
@@ -235,7 +235,7 @@
     let crashed = preferred(&cluster, &applications).await;
     crashed.crash();
     tokio::time::sleep(Duration::from_millis(50)).await;
-    let successor = EngineStandIn::start_at(
+    let successor = FakeEngine::start_at(
         crashed.address(),
         Arc::new(sloetrail_serving_testkit::wire::NativeWire),
         "other",
@@ -257,7 +257,7 @@
     let mut cluster = native_cluster();
     cluster.body_budget_bytes = Some(500_000);
     let application = cluster.add_application("zone-a").await;
-    application.set_pace(Duration::from_millis(400));
+    application.set_event_interval(Duration::from_millis(400));
     cluster.add_engine(EVENT_INTERVAL).await;
     let node = cluster.add_node("node-1").await;
     cluster.wait_ready(node).await;
@@ -305,7 +305,7 @@
     let (cluster, applications) = cluster_with(2).await;
     for application in &applications {
         // Longer than the hedging delay (70 ms at a latency target of 200 ms).
-        application.set_pace(Duration::from_millis(120));
+        application.set_event_interval(Duration::from_millis(120));
     }
     let cluster = Arc::new(cluster);
     let calling = (0..CALLERS).map(|caller| {
@@ -345,7 +345,7 @@
 }
 
 /// Crashes all applications and sends requests until the node backs off from them.
-async fn crash_all(cluster: &Cluster, applications: &[Arc<EngineStandIn>]) {
+async fn crash_all(cluster: &Cluster, applications: &[Arc<FakeEngine>]) {
     for application in applications {
         application.crash();
     }
@@ -397,7 +397,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_wait_for_a_slot_that_frees_soon() {
     let (cluster, applications) = cluster_with(1).await;
-    applications[0].set_pace(Duration::from_millis(60));
+    applications[0].set_event_interval(Duration::from_millis(60));
     for number in 0..4 {
         live(&cluster, 0, "/once/x", &format!("r{number}")).await;
     }
--- a/crates/sloetrail-serving/tests/quarantine_under_failure.rs
+++ b/crates/sloetrail-serving/tests/quarantine_under_failure.rs
@@ -85,7 +85,7 @@
 async fn table_commit_faults_lose_no_crash_report() {
     let faults = [
         CommitFault::DoneUnanswered,
-        CommitFault::LostOnTheWay,
+        CommitFault::RequestLost,
         CommitFault::Refused,
         CommitFault::DoneLate(Duration::from_millis(300)),
         CommitFault::Slow(Duration::from_millis(150)),
@@ -157,7 +157,7 @@
         assert_eq!(answer.status, status);
     }
     let engines = fragile.cluster.engines.iter();
-    engines.for_each(|engine| engine.set_lethal("nothing any more"));
+    engines.for_each(|engine| engine.set_crash_body("nothing any more"));
     for node in 0..2 {
         let is_served = || async {
             let answer = fragile
@@ -194,7 +194,7 @@
 
     fragile.replace_software("v3").await;
     let engines = fragile.cluster.engines.iter();
-    engines.for_each(|engine| engine.set_lethal("nothing any more"));
+    engines.for_each(|engine| engine.set_crash_body("nothing any more"));
     tokio::time::sleep(Duration::from_millis(2_200)).await;
     let is_served = || async {
         let answer = fragile.send_request(1, "/live/x", "v3", LETHAL).await;
--- a/crates/sloetrail-serving/tests/regions.rs
+++ b/crates/sloetrail-serving/tests/regions.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 use sloetrail_serving_testkit::client::{Answer, batch, with_reward};
 use sloetrail_serving_testkit::cluster::{Cluster, HOST, MODEL, eventually, usual_routes};
-use sloetrail_serving_testkit::engine::{EngineFault, EngineStandIn};
+use sloetrail_serving_testkit::engine::{EngineFault, FakeEngine};
 use sloetrail_serving_testkit::stopwatch::Stopwatch;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -65,7 +65,7 @@
     }
 }
 
-fn back_end(cluster: &Cluster, service: &str, zone: &str) -> Arc<EngineStandIn> {
+fn back_end(cluster: &Cluster, service: &str, zone: &str) -> Arc<FakeEngine> {
     let mut back_ends = cluster.engines.iter();
     let found = back_ends.find(|engine| engine.service == service && engine.zone == zone);
     Arc::clone(found.expect("a back end in the zone"))
@@ -254,7 +254,10 @@
             .header(&names.deadline_ms, "1500")
             .body("question");
         let watch = Stopwatch::start();
-        let answer = cluster.keyed(call).send(cluster.nodes[0].callers).await;
+        let answer = cluster
+            .with_api_key(call)
+            .send(cluster.nodes[0].callers)
+            .await;
         assert_refused_at_once(&answer.expect("an answer"), &watch, NO_ALLOWED_REGION);
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
--- a/crates/sloetrail-serving/tests/silent_connections.rs
+++ b/crates/sloetrail-serving/tests/silent_connections.rs
@@ -5,12 +5,12 @@
 use futures_util::future::join_all;
 use http::Method;
 use serde_json::json;
+use sloetrail_serving_testkit::blackhole_proxy::BlackholeProxy;
 use sloetrail_serving_testkit::client::{Answer, Call, batch};
 use sloetrail_serving_testkit::cluster::{
     APPLICATION, Cluster, HOST, MODEL, MODELS, eventually, usual_routes,
 };
-use sloetrail_serving_testkit::engine::EngineStandIn;
-use sloetrail_serving_testkit::silencing_proxy::SilencingProxy;
+use sloetrail_serving_testkit::engine::FakeEngine;
 use sloetrail_serving_testkit::stopwatch::Stopwatch;
 use sloetrail_serving_testkit::wire::NativeWire;
 use std::sync::Arc;
@@ -23,9 +23,9 @@
 
 struct ProxiedCluster {
     cluster: Cluster,
-    applications: Vec<Arc<EngineStandIn>>,
-    engine: Arc<EngineStandIn>,
-    proxies: Vec<Arc<SilencingProxy>>,
+    applications: Vec<Arc<FakeEngine>>,
+    engine: Arc<FakeEngine>,
+    proxies: Vec<Arc<BlackholeProxy>>,
 }
 
 /// Starts a node whose back ends are reached through proxies.
@@ -36,8 +36,8 @@
     let services = std::iter::repeat_n((APPLICATION, &[][..]), applications);
     for (service, models) in services.chain([(MODELS, &[MODEL][..])]) {
         let wire = Arc::new(NativeWire);
-        let back_end = EngineStandIn::start(wire, service, "zone-a", models, pace).await;
-        let proxy = SilencingProxy::start(back_end.address()).await;
+        let back_end = FakeEngine::start(wire, service, "zone-a", models, pace).await;
+        let proxy = BlackholeProxy::start(back_end.address()).await;
         back_end.set_listed_address(proxy.address);
         cluster.list(&back_end);
         proxies.push(proxy);
@@ -59,7 +59,7 @@
     async fn warm_up(&self) {
         let are_all_used = || async {
             self.requests("/live/x", "warm", CONNECTIONS).await;
-            let is_used = |proxy: &Arc<SilencingProxy>| proxy.accepted() > 1;
+            let is_used = |proxy: &Arc<BlackholeProxy>| proxy.accepted() > 1;
             let applications = &self.proxies[..self.applications.len()];
             applications.iter().all(is_used).then_some(())
         };
@@ -68,7 +68,7 @@
 
     fn silence_all(&self) {
         for proxy in &self.proxies {
-            proxy.silence();
+            proxy.blackhole_connections();
         }
     }
 
@@ -101,9 +101,12 @@
     }
 
     /// Number of transfers to or from applications over silenced connections.
-    fn silent_uses(&self) -> usize {
+    fn discarded_reads(&self) -> usize {
         let applications = &self.proxies[..self.applications.len()];
-        applications.iter().map(|proxy| proxy.silent_uses()).sum()
+        applications
+            .iter()
+            .map(|proxy| proxy.discarded_reads())
+            .sum()
     }
 
     fn accepted(&self) -> usize {
@@ -122,7 +125,7 @@
         assert_eq!(status, 200);
         assert!(took < LATENCY_TARGET, "request {number} took {took:?}");
     }
-    let uses = proxied.silent_uses();
+    let uses = proxied.discarded_reads();
     assert!(
         (1..=2).contains(&uses),
         "{uses} uses of unresponsive connections to two addresses"
@@ -138,13 +141,13 @@
         assert_eq!(status, 200);
         assert!(took < LATENCY_TARGET, "{took:?}");
     }
-    let uses = proxied.silent_uses();
+    let uses = proxied.discarded_reads();
     for (status, took) in proxied.requests("/live/x", "second", CONNECTIONS).await {
         assert_eq!(status, 200);
         assert!(took < LATENCY_TARGET / 4, "{took:?}");
     }
     assert_eq!(
-        proxied.silent_uses(),
+        proxied.discarded_reads(),
         uses,
         "later requests must use new connections"
     );
@@ -159,7 +162,7 @@
         assert_eq!(status, 200);
         assert!(took < LATENCY_TARGET / 4, "{took:?}");
     }
-    assert_eq!(proxied.silent_uses(), 0);
+    assert_eq!(proxied.discarded_reads(), 0);
     for number in 0..CONNECTIONS {
         assert_eq!(proxied.runs_of(&format!("once-{number}")), 1);
     }
@@ -175,14 +178,14 @@
     let answer = proxied.events("s1").await.expect("an answer");
     assert_eq!(answer.status, 200);
     assert!(watch.elapsed() < Duration::from_millis(2_000));
-    let uses = proxied.silent_uses();
+    let uses = proxied.discarded_reads();
     let watch = Stopwatch::start();
     let answer = proxied.events("s2").await.expect("an answer");
     assert_eq!(answer.status, 200);
     let took = watch.elapsed();
     assert!(took < LATENCY_TARGET, "{took:?}");
     assert_eq!(
-        proxied.silent_uses(),
+        proxied.discarded_reads(),
         uses,
         "the next stream must use the new connection"
     );
@@ -204,7 +207,7 @@
     assert_eq!(answer.status, 200);
     let took = watch.elapsed();
     assert!(took < LATENCY_TARGET, "{took:?}");
-    assert_eq!(proxied.silent_uses(), 0);
+    assert_eq!(proxied.discarded_reads(), 0);
     assert_eq!(proxied.runs_of("s1"), 1);
 }
 
@@ -304,7 +307,7 @@
     proxied.warm_up().await;
     for application in &proxied.applications {
         // Longer than the hedging delay: 70 ms of the 200 ms target.
-        application.set_pace(Duration::from_millis(120));
+        application.set_event_interval(Duration::from_millis(120));
     }
     // The first rounds hedge too early, until the node has measured the latency.
     for round in 0..ROUNDS {
--- a/crates/sloetrail-serving/tests/usage.rs
+++ b/crates/sloetrail-serving/tests/usage.rs
@@ -9,7 +9,7 @@
 use sloetrail_serving_testkit::cluster::{Cluster, HOST, MODEL, eventually, usual_routes};
 use sloetrail_serving_testkit::engine::EngineFault;
 use sloetrail_serving_testkit::table::CommitFault;
-use sloetrail_serving_testkit::usage::{ReportBook, ReportFault};
+use sloetrail_serving_testkit::usage::{ReportFault, ReportRecorder};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,8 +23,8 @@
     due_s: 2.0,
 };
 
-async fn cluster(nodes: &[&str]) -> (Cluster, Arc<ReportBook>) {
-    let recorder = ReportBook::new();
+async fn cluster(nodes: &[&str]) -> (Cluster, Arc<ReportRecorder>) {
+    let recorder = ReportRecorder::new();
     let mut cluster = client_cluster();
     cluster.tenants = Some(json!([
         {"name": "north", "api_keys": ["north-key"]},
@@ -40,7 +40,7 @@
     cluster.api_key = Some("north-key".to_owned());
     cluster.peers = true;
     cluster.usage = Some(WINDOWS);
-    cluster.recipient = Some(Arc::<ReportBook>::clone(&recorder));
+    cluster.recipient = Some(Arc::<ReportRecorder>::clone(&recorder));
     cluster.add_application("zone-a").await;
     cluster.add_application("zone-a").await;
     cluster.add_engine(Duration::from_millis(5)).await;
@@ -71,27 +71,27 @@
     }
 }
 
-async fn wait_for_requests(recorder: &ReportBook, tenant: &str, count: u64) {
+async fn wait_for_requests(recorder: &ReportRecorder, tenant: &str, count: u64) {
     let is_reported = || async { (recorder.requests_of(tenant) >= count).then_some(()) };
     eventually("the requests are reported", is_reported).await;
     assert_eq!(recorder.requests_of(tenant), count);
 }
 
 /// Waits until `count` more windows are reported.
-async fn wait_for_windows(recorder: &ReportBook, count: usize) {
+async fn wait_for_windows(recorder: &ReportRecorder, count: usize) {
     let expected = recorder.taken().len() + count;
     let are_reported = || async { (recorder.taken().len() >= expected).then_some(()) };
     eventually("later windows are reported", are_reported).await;
 }
 
-fn assert_windows_are_contiguous(recorder: &ReportBook) {
+fn assert_windows_are_contiguous(recorder: &ReportRecorder) {
     let windows: Vec<u64> = recorder.taken().keys().map(|window| window.0).collect();
     let (first, last) = (windows[0], windows[windows.len() - 1]);
     assert_eq!(windows, (first..=last).collect::<Vec<u64>>());
 }
 
 /// Asserts that reports of two holders are separated by the order gap and epochs never decrease.
-fn assert_holders_do_not_overlap(recorder: &ReportBook) {
+fn assert_holders_do_not_overlap(recorder: &ReportRecorder) {
     let records = recorder.records();
     for pair in records.windows(2) {
         let [first, second] = pair else {
@@ -105,7 +105,7 @@
 }
 
 /// Waits for a report and returns the index of the node that sent the last one.
-async fn holder(recorder: &ReportBook) -> usize {
+async fn holder(recorder: &ReportRecorder) -> usize {
     let holder = || async {
         let records = recorder.records();
         let names = ["node-1", "node-2", "node-3"];
@@ -199,7 +199,7 @@
 async fn started_requests_of_disconnected_callers_are_counted() {
     let (cluster, recorder) = cluster(&["node-1"]).await;
     for application in &cluster.engines[..2] {
-        application.set_pace(Duration::from_secs(1));
+        application.set_event_interval(Duration::from_secs(1));
     }
     let call = call(&cluster, "/keyed/x", "r1", "north-key");
     let sending = call.send(cluster.nodes[0].callers);
@@ -230,7 +230,7 @@
     let (mut cluster, recorder) = cluster(&["node-1", "node-2"]).await;
     let first = holder(&recorder).await;
     send_requests(&cluster, 1 - first, "north", 5).await;
-    recorder.set_fault(ReportFault::TakenUnanswered);
+    recorder.set_fault(ReportFault::AcceptedUnanswered);
     let before = recorder.taken().len();
     let is_accepted = || async { (recorder.taken().len() > before).then_some(()) };
     eventually("a report is accepted without an answer", is_accepted).await;
@@ -281,7 +281,7 @@
         newest = window;
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    assert_eq!(cluster.table.faults_left(), Some(0));
+    assert_eq!(cluster.table.remaining_faults(), Some(0));
     assert!(newest > first + 3, "reporting stopped");
 }
 
@@ -289,7 +289,7 @@
 async fn long_requests_count_once_in_their_window() {
     let (cluster, recorder) = cluster(&["node-1"]).await;
     for application in &cluster.engines[..2] {
-        application.set_pace(Duration::from_millis(1_800));
+        application.set_event_interval(Duration::from_millis(1_800));
     }
     let call =
         call(&cluster, "/keyed/x", "r1", "north-key").header(&cluster.names().deadline_ms, "4000");
@@ -329,7 +329,7 @@
 async fn unanswered_commit_is_reported_as_committed() {
     for fault in [
         CommitFault::DoneUnanswered,
-        CommitFault::LostOnTheWay,
+        CommitFault::RequestLost,
         CommitFault::DoneLate(Duration::from_millis(700)),
     ] {
         let (cluster, recorder) = cluster(&["node-1"]).await;
