--- a/crates/sloetrail-serving/src/batch_rows.rs
+++ b/crates/sloetrail-serving/src/batch_rows.rs
@@ -96,7 +96,7 @@
     let mut failed_runs = BTreeMap::new();
     let mut pieces = Vec::new();
     for row in &page.rows {
-        match rows::item_of_failed_runs(&row.address.key) {
+        match rows::failed_runs_item(&row.address.key) {
             Some(index) => {
                 let count = std::str::from_utf8(&row.value).ok();
                 let count = count.and_then(|count| count.parse().ok());
@@ -116,7 +116,7 @@
 fn join_results(rows: &[Row], is_truncated: bool) -> Option<Vec<ListedResult>> {
     let mut joined: Vec<(usize, BytesMut)> = Vec::new();
     for row in rows {
-        let position = rows::position_of(&row.address.key)?;
+        let position = rows::result_position(&row.address.key)?;
         match joined.last_mut() {
             Some((last, bytes)) if *last == position => bytes.extend_from_slice(&row.value),
             _ => joined.push((position, BytesMut::from(&row.value[..]))),
--- a/crates/sloetrail-serving/src/context.rs
+++ b/crates/sloetrail-serving/src/context.rs
@@ -36,8 +36,8 @@
     pub(crate) in_force: watch::Receiver<Arc<InForce>>,
     pub(crate) directory: watch::Receiver<Arc<Directory>>,
     /// When the directory and the operator's rows were asked for that are in force.
-    pub(crate) directory_taken_in: LastApplied,
-    pub(crate) operator_taken_in: LastApplied,
+    pub(crate) directory_applied: LastApplied,
+    pub(crate) operator_applied: LastApplied,
     /// How much of the directory this node wants to hold.
     pub(crate) subset_demand: Arc<SubsetDemand>,
     /// Lives of back ends after which another one began.
@@ -46,7 +46,7 @@
     /// Sets of bound batches that have, or had, an owner.
     pub(crate) leased_sets: watch::Receiver<Arc<LeasedSets>>,
     /// How often the leases are asked for.
-    pub(crate) lease_pace: PollTiming,
+    pub(crate) lease_poll_timing: PollTiming,
     pub(crate) fleet: FleetSize,
     /// What runs at back ends, by zone.
     pub(crate) zone_work: Arc<ZoneWork>,
--- a/crates/sloetrail-serving/src/dialect.rs
+++ b/crates/sloetrail-serving/src/dialect.rs
@@ -141,7 +141,7 @@
 
     /// True if listed results name which engine made which events of a text. Where they do
     /// not, the engines are not kept either.
-    fn tells_segments(&self) -> bool {
+    fn lists_segments(&self) -> bool {
         false
     }
 
--- a/crates/sloetrail-serving/src/gateway/batch_call.rs
+++ b/crates/sloetrail-serving/src/gateway/batch_call.rs
@@ -103,7 +103,7 @@
 ) -> Result<ReaderDemand, Problem> {
     let oldest_version = oldest_version.map(parse_version).transpose()?;
     Ok(ReaderDemand {
-        segments: context.dialect.tells_segments(),
+        segments: context.dialect.lists_segments(),
         oldest_version,
     })
 }
--- a/crates/sloetrail-serving/src/gateway/claims.rs
+++ b/crates/sloetrail-serving/src/gateway/claims.rs
@@ -93,7 +93,7 @@
         Arc::new(Self {
             table,
             claimant: settings.instance.clone(),
-            retention: settings.bounds.claims_kept,
+            retention: settings.bounds.claim_retention,
             next_number: AtomicU64::new(1),
             pending_writes: AtomicUsize::new(0),
         })
--- a/crates/sloetrail-serving/src/gateway/claims/sweep.rs
+++ b/crates/sloetrail-serving/src/gateway/claims/sweep.rs
@@ -48,7 +48,7 @@
 
 async fn sweep_partition(table: &dyn Table, partition: u8) -> Option<usize> {
     let now_ms = table.now_ms().filter(|_| table.is_answering())?;
-    let range = rows::claim_times_until(partition, now_ms);
+    let range = rows::expired_claims_until(partition, now_ms);
     // Reads one page only; later sweeps or other nodes delete the rest.
     let page = table.scan(&range).await.ok()?;
     let claims_per_transaction = table.limits().transaction_entries / ENTRIES_PER_CLAIM;
@@ -68,7 +68,7 @@
 fn deletion(times: &[Row]) -> Transaction {
     let mut transaction = Transaction::new();
     for time in times {
-        let Some(claim) = rows::claim_of_time(&time.address) else {
+        let Some(claim) = rows::claim_of_expiry(&time.address) else {
             continue;
         };
         transaction = transaction
--- a/crates/sloetrail-serving/src/gateway/claims/sweep/tests.rs
+++ b/crates/sloetrail-serving/src/gateway/claims/sweep/tests.rs
@@ -8,7 +8,7 @@
 fn claims_are_deleted_only_if_expiry_is_unchanged() {
     let claim = rows::claim(0xabc);
     let time = Row {
-        address: rows::claim_time(&claim, 1_000),
+        address: rows::claim_expiry(&claim, 1_000),
         value: Bytes::new(),
         version: RowVersion(7),
     };
@@ -25,10 +25,10 @@
 fn expiry_rows_sort_by_time() {
     let claim = rows::claim(0xabc);
     let partition = 0xabc_u128 % u128::from(rows::CLAIM_PARTITIONS);
-    let range = rows::claim_times_until(partition as u8, 1_000);
+    let range = rows::expired_claims_until(partition as u8, 1_000);
     let end = range.to.expect("an end");
     assert_eq!(claim.partition, range.partition);
-    assert!(rows::claim_time(&claim, 999).key < end);
-    assert!(rows::claim_time(&claim, 1_000).key >= end);
-    assert!(rows::claim_time(&claim, 10_000).key >= end);
+    assert!(rows::claim_expiry(&claim, 999).key < end);
+    assert!(rows::claim_expiry(&claim, 1_000).key >= end);
+    assert!(rows::claim_expiry(&claim, 10_000).key >= end);
 }
--- a/crates/sloetrail-serving/src/gateway/claims/writes.rs
+++ b/crates/sloetrail-serving/src/gateway/claims/writes.rs
@@ -270,14 +270,14 @@
     base: Option<BaseVersion>,
 ) -> Transaction {
     let version = base.map(|base| base.version);
-    let time = rows::claim_time(address, record.delete_at_ms);
+    let time = rows::claim_expiry(address, record.delete_at_ms);
     let transaction = Transaction::new()
         .require(address.clone(), version)
         .put(address.clone(), record.encode())
         .put(time, Vec::new());
     match base {
         Some(base) if base.delete_at_ms != record.delete_at_ms => {
-            transaction.delete(rows::claim_time(address, base.delete_at_ms))
+            transaction.delete(rows::claim_expiry(address, base.delete_at_ms))
         }
         _ => transaction,
     }
--- a/crates/sloetrail-serving/src/gateway/live.rs
+++ b/crates/sloetrail-serving/src/gateway/live.rs
@@ -191,7 +191,7 @@
         };
         let next_check = wait.next_check(now, estimate, bounds);
         if is_above_share {
-            telemetry::tenant_held_back(self.service.as_str(), next_check.is_some());
+            telemetry::tenant_deferred(self.service.as_str(), next_check.is_some());
         }
         let Some(next_check) = next_check else {
             return false;
--- a/crates/sloetrail-serving/src/http/connections.rs
+++ b/crates/sloetrail-serving/src/http/connections.rs
@@ -189,7 +189,7 @@
 }
 
 fn tell_condemned(address: SocketAddr, silence: Silence, connections: usize) {
-    telemetry::connections_condemned(silence.word(), connections as u64);
+    telemetry::connections_evicted(silence.word(), connections as u64);
     events::emit(&Event::ConnectionsCondemned {
         address: &address.to_string(),
         cause: silence.word(),
--- a/crates/sloetrail-serving/src/leases/leased_sets.rs
+++ b/crates/sloetrail-serving/src/leases/leased_sets.rs
@@ -19,7 +19,7 @@
     /// Returns the sets that have a lease row in this view.
     pub(crate) fn from_view(leases: &TableView) -> Self {
         let subjects = leases.rows.keys();
-        let subjects = subjects.filter_map(|key| rows::subject_of_lease(key));
+        let subjects = subjects.filter_map(|key| rows::lease_name_of_key(key));
         Self(subjects.filter_map(BatchSet::from_lease_name).collect())
     }
 
--- a/crates/sloetrail-serving/src/leases/manager.rs
+++ b/crates/sloetrail-serving/src/leases/manager.rs
@@ -172,7 +172,7 @@
     /// Returns the maximum time between two confirmations while the table answers.
     fn confirmation_gap(&self) -> Duration {
         let answers = self.context.table.ordinary_time() * CONFIRMATION_ANSWER_TIMES;
-        self.context.lease_pace.max_confirmation_interval() + CONFIRMATION_MARGIN + answers
+        self.context.lease_poll_timing.max_confirmation_interval() + CONFIRMATION_MARGIN + answers
     }
 
     fn observe_row(&mut self, row: Option<&Row>, at: BootInstant) {
@@ -211,7 +211,7 @@
     fn end_active_term(&mut self, cause: &str) {
         if let Some(active_term) = self.active_term.take() {
             active_term.term.ended.cancel();
-            telemetry::lease_held(self.resource.name(), 0);
+            telemetry::set_lease_epoch(self.resource.name(), 0);
             events::emit(&Event::LeaseLost {
                 service: self.resource.name(),
                 epoch: active_term.term.epoch.0,
@@ -227,7 +227,7 @@
             return None;
         }
         let holder = self.watcher.holder()?;
-        let is_own_node = self.context.settings.is_own_machine(holder);
+        let is_own_node = self.context.settings.is_same_node(holder);
         is_own_node.then(|| self.watcher.take_over()).flatten()
     }
 
@@ -281,7 +281,7 @@
                     previous: previous.as_deref().unwrap_or("-"),
                     unchanged_ms: unchanged.as_millis() as u64,
                 });
-                telemetry::lease_held(self.resource.name(), epoch.0);
+                telemetry::set_lease_epoch(self.resource.name(), epoch.0);
                 self.begin_term(epoch, version);
             }
             Ok(Commit::Conflict(rows)) => self.record_conflict(&rows),
--- a/crates/sloetrail-serving/src/native_dialect.rs
+++ b/crates/sloetrail-serving/src/native_dialect.rs
@@ -98,7 +98,7 @@
         &self.paths
     }
 
-    fn tells_segments(&self) -> bool {
+    fn lists_segments(&self) -> bool {
         true
     }
 
--- a/crates/sloetrail-serving/src/node.rs
+++ b/crates/sloetrail-serving/src/node.rs
@@ -23,7 +23,7 @@
 use crate::subset_demand::{SubsetDemand, watch_subset_coverage};
 use crate::supervisor::supervise;
 use crate::table::Table;
-use crate::telemetry::{self, Beliefs};
+use crate::telemetry::{self, NodeGauges};
 use crate::usage::{NodeUsage, UsageRecipient, UsageWork};
 use crate::zone_work::ZoneWork;
 use http::StatusCode;
@@ -109,7 +109,7 @@
         if let Some(address) = context.settings.metrics_address {
             serve_metrics(&context, listen(address).await?, tracker.clone());
         }
-        tokio::spawn(keep_house(Arc::clone(&context)));
+        tokio::spawn(run_housekeeping(Arc::clone(&context)));
         let (quarantine, fleet) = (Arc::clone(&context.quarantine), context.fleet.clone());
         tokio::spawn(quarantine::keep_swept(quarantine, fleet));
         if context.claims.is_some() {
@@ -245,14 +245,14 @@
 ) -> NodeContext {
     let fleet = FleetSize::default();
     let paces = PollTimings::new(&fleet, &settings.bounds);
-    let lease_pace = paces.leases.clone();
+    let lease_poll_timing = paces.leases.clone();
     let subset_demand = Arc::new(SubsetDemand::default());
     let held = SubsetReader::new(&settings.node, Arc::clone(&subset_demand));
     let views = Views::follow(&table, &*dialect, paces, held);
-    let (directory, directory_taken_in) =
+    let (directory, directory_applied) =
         watch_directory(views.directory, Arc::clone(&dialect), fleet.clone());
     let seed = digest(settings.instance.as_str().as_bytes());
-    let (in_force, operator_taken_in) = watch_operator(views.operator, Arc::clone(&dialect));
+    let (in_force, operator_applied) = watch_operator(views.operator, Arc::clone(&dialect));
     watch_subset_coverage(
         Arc::clone(&subset_demand),
         settings.topology.clone(),
@@ -260,16 +260,16 @@
         in_force.clone(),
     );
     let ended_incarnations = watch_ended_incarnations(directory.clone());
-    let (quarantine, crashes_taken_in) = Quarantine::start(
+    let (quarantine, crashes_applied) = Quarantine::start(
         &settings,
         Arc::clone(&table),
         (directory.clone(), ended_incarnations.clone()),
         views.leases.clone(),
     );
     let beliefs = [
-        directory_taken_in.clone(),
-        operator_taken_in.clone(),
-        crashes_taken_in,
+        directory_applied.clone(),
+        operator_applied.clone(),
+        crashes_applied,
     ];
     let pause_guard = PauseGuard::start(beliefs);
     let zone_work = ZoneWork::start(in_force.clone());
@@ -310,12 +310,12 @@
         ended_incarnations,
         quarantine,
         directory,
-        directory_taken_in,
-        operator_taken_in,
+        directory_applied,
+        operator_applied,
         subset_demand,
         leases: views.leases,
         leased_sets,
-        lease_pace,
+        lease_poll_timing,
         fleet,
         zone_work,
         pause_guard,
@@ -388,17 +388,17 @@
     tokio::spawn(serving);
 }
 
-fn beliefs(context: &NodeContext, callers: &ConnectionTracker) -> Beliefs {
+fn beliefs(context: &NodeContext, callers: &ConnectionTracker) -> NodeGauges {
     let configuration = context.configuration();
     let directory = Arc::clone(&context.directory.borrow());
     let age = |requested_at: Option<BootInstant>| requested_at.map(|at| at.elapsed());
-    Beliefs {
+    NodeGauges {
         configuration_revision: configuration.map_or(0, |known| known.revision.0),
         directory_version: directory.version.0,
-        back_ends_held: directory.back_ends.len(),
+        back_ends_known: directory.back_ends.len(),
         back_ends_listed: directory.total_rows,
-        directory_age: age(*context.directory_taken_in.borrow()),
-        operator_age: age(*context.operator_taken_in.borrow()),
+        directory_age: age(*context.directory_applied.borrow()),
+        operator_age: age(*context.operator_applied.borrow()),
         zones: context.zone_work.evacuated(),
         zones_evacuated: context.in_force.borrow().evacuations.count(),
         back_ends_cold: directory.cold_count(BootInstant::now()),
@@ -409,7 +409,7 @@
     }
 }
 
-async fn keep_house(context: Arc<NodeContext>) {
+async fn run_housekeeping(context: Arc<NodeContext>) {
     loop {
         tokio::time::sleep(HOUSEKEEPING_PERIOD).await;
         context.connections.sweep();
--- a/crates/sloetrail-serving/src/owner/committer.rs
+++ b/crates/sloetrail-serving/src/owner/committer.rs
@@ -106,7 +106,7 @@
         return;
     };
     if let [(newer, _)] = pending.rows.as_slice()
-        && rows::item_of_failed_runs(&newer.key).is_some()
+        && rows::failed_runs_item(&newer.key).is_some()
     {
         waiting.retain(|other| other.rows.iter().all(|(address, _)| address != newer));
     }
--- a/crates/sloetrail-serving/src/owner/run.rs
+++ b/crates/sloetrail-serving/src/owner/run.rs
@@ -361,7 +361,7 @@
     /// The instance name of the engine, if results report the engine of each segment. It is the
     /// same for all incarnations.
     fn reported_engine(&self) -> Option<EngineId> {
-        let reports_segments = self.spec.context.dialect.tells_segments();
+        let reports_segments = self.spec.context.dialect.lists_segments();
         reports_segments.then(|| EngineId::new(&self.spec.back_end.instance))
     }
 
--- a/crates/sloetrail-serving/src/owner/service_owner/supply.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/supply.rs
@@ -281,7 +281,7 @@
     service: &ServiceName,
     engines: usize,
 ) -> Option<usize> {
-    let address = rows::engine_floor(service);
+    let address = rows::engine_baseline(service);
     let row = read_row(&*context.table, &address).await.ok()?;
     if let Some(row) = row {
         return serde_json::from_slice(&row.value).ok();
--- a/crates/sloetrail-serving/src/quarantine/book.rs
+++ b/crates/sloetrail-serving/src/quarantine/book.rs
@@ -71,7 +71,7 @@
 
     /// Takes in the table's rows; false if nothing has changed.
     pub(super) fn take_view(&mut self, view: &TableView) -> bool {
-        let rows = view.rows.range(rows::quarantine_keys());
+        let rows = view.rows.range(rows::quarantine_key_range());
         let versions = rows.clone().map(|(key, row)| (key, row.version));
         let known = self.told.iter().map(|(key, told)| (key, told.version));
         if versions.eq(known) {
--- a/crates/sloetrail-serving/src/quarantine/permission.rs
+++ b/crates/sloetrail-serving/src/quarantine/permission.rs
@@ -97,7 +97,7 @@
             Permission::OnTrial => (None, TRIAL_PAUSE),
             Permission::Held { crashes, left } => (Some(crashes), left),
         };
-        telemetry::request_kept_back(self.service.as_str());
+        telemetry::request_quarantined(self.service.as_str());
         let digest = self.digest();
         let detail = match crashes {
             Some(crashes) => format!("{crashes} back ends have crashed under request {digest}"),
--- a/crates/sloetrail-serving/src/quarantine/sweep.rs
+++ b/crates/sloetrail-serving/src/quarantine/sweep.rs
@@ -41,7 +41,7 @@
             let deletion = rows
                 .iter()
                 .fold(Transaction::new(), |deletion, (key, version)| {
-                    let address = rows::in_leases(key);
+                    let address = rows::lease_table_row(key);
                     deletion
                         .require(address.clone(), Some(*version))
                         .delete(address)
--- a/crates/sloetrail-serving/src/rows.rs
+++ b/crates/sloetrail-serving/src/rows.rs
@@ -44,7 +44,7 @@
 pub const DIRECTORY_INDEX: &str = "sloetrail_directory_index";
 
 /// How many engines each service had before any were ordered.
-pub const ENGINE_FLOORS: &str = "sloetrail_engine_floors";
+pub const ENGINE_BASELINES: &str = "sloetrail_engine_floors";
 
 /// The claims of idempotency keys, with the answers of their requests.
 pub const CLAIMS: &str = "sloetrail_claims";
@@ -79,7 +79,7 @@
 }
 
 /// What a lease is for, by its key; nothing if the key is of another row.
-pub fn subject_of_lease(key: &str) -> Option<&str> {
+pub fn lease_name_of_key(key: &str) -> Option<&str> {
     key.strip_prefix(LEASE_KEYS)
 }
 
@@ -112,13 +112,13 @@
 }
 
 /// The keys of all crashes and clearances.
-pub fn quarantine_keys() -> Range<String> {
+pub fn quarantine_key_range() -> Range<String> {
     // The sign after the slash: the range holds all keys that begin so.
     CRASH_KEYS.to_owned()..CRASH_KEYS.replace('/', "0")
 }
 
 /// A row among the leases, by its key.
-pub fn in_leases(key: &str) -> RowAddress {
+pub fn lease_table_row(key: &str) -> RowAddress {
     RowAddress::new(LEASES, OWNERS, key)
 }
 
@@ -162,8 +162,8 @@
 }
 
 /// How many engines a service had before any were ordered.
-pub fn engine_floor(service: &ServiceName) -> RowAddress {
-    RowAddress::new(ENGINE_FLOORS, OWNERS, service.as_str())
+pub fn engine_baseline(service: &ServiceName) -> RowAddress {
+    RowAddress::new(ENGINE_BASELINES, OWNERS, service.as_str())
 }
 
 /// The report of usage that was committed last.
@@ -229,7 +229,7 @@
 }
 
 /// The item whose failed runs a row among the pieces counts; nothing for a piece.
-pub fn item_of_failed_runs(key: &str) -> Option<usize> {
+pub fn failed_runs_item(key: &str) -> Option<usize> {
     let (item, last) = key.rsplit_once('/')?;
     let index = item.rsplit('/').next()?;
     (last == FAILED_RUNS).then(|| index.parse().ok())?
@@ -247,13 +247,13 @@
 }
 
 /// The row that tells when a claim may be deleted, by the table's clock.
-pub fn claim_time(claim: &RowAddress, delete_at_ms: u64) -> RowAddress {
+pub fn claim_expiry(claim: &RowAddress, delete_at_ms: u64) -> RowAddress {
     let key = format!("{delete_at_ms:0TIME_DIGITS$}/{}", claim.key);
     RowAddress::new(CLAIM_TIMES, &claim.partition, key)
 }
 
 /// The times of the claims of a partition that may be deleted now.
-pub fn claim_times_until(partition: u8, now_ms: u64) -> KeyRange {
+pub fn expired_claims_until(partition: u8, now_ms: u64) -> KeyRange {
     KeyRange {
         to: Some(format!("{now_ms:0TIME_DIGITS$}")),
         ..KeyRange::all(CLAIM_TIMES, claim_partition(partition))
@@ -261,7 +261,7 @@
 }
 
 /// The claim that a row of times speaks of; nothing if it is none.
-pub fn claim_of_time(time: &RowAddress) -> Option<RowAddress> {
+pub fn claim_of_expiry(time: &RowAddress) -> Option<RowAddress> {
     let (_, key) = time.key.split_once('/')?;
     Some(RowAddress::new(CLAIMS, &time.partition, key))
 }
@@ -271,7 +271,7 @@
 }
 
 /// The position that a result's key names.
-pub fn position_of(key: &str) -> Option<usize> {
+pub fn result_position(key: &str) -> Option<usize> {
     key.split('/').nth(1)?.parse().ok()
 }
 
--- a/crates/sloetrail-serving/src/settings.rs
+++ b/crates/sloetrail-serving/src/settings.rs
@@ -249,7 +249,7 @@
     /// How long a batch may be read after its submission.
     pub batch_status: Duration,
     /// How long the claim of an idempotency key is kept after its request was due.
-    pub claims_kept: Duration,
+    pub claim_retention: Duration,
     /// How long a crash of a back end speaks against the requests that were there.
     pub quarantine: Duration,
     /// Engines that change their weights at a time.
@@ -267,7 +267,7 @@
             order_gap: milliseconds(raw.order_gap_ms, ORDER_GAP_DEFAULT_MS),
             grace: seconds(raw.grace_s, GRACE_DEFAULT_S, "grace_s")?,
             batch_status: seconds(raw.batch_status_s, BATCH_STATUS_DEFAULT_S, "batch_status_s")?,
-            claims_kept: seconds(raw.claims_kept_s, CLAIMS_KEPT_DEFAULT_S, "claims_kept_s")?,
+            claim_retention: seconds(raw.claims_kept_s, CLAIMS_KEPT_DEFAULT_S, "claims_kept_s")?,
             quarantine: seconds(raw.quarantine_s, QUARANTINE_DEFAULT_S, "quarantine_s")?,
             concurrent_loads: raw.concurrent_loads.unwrap_or(CONCURRENT_LOADS_DEFAULT),
             body_budget_bytes: raw.body_budget_bytes.unwrap_or(BODY_BUDGET_DEFAULT),
@@ -288,7 +288,7 @@
         ensure!(self.lease >= LEASE_LEAST, too_short("lease_ms"));
         ensure!(self.grace >= GRACE_LEAST, too_short("grace_s"));
         ensure!(
-            self.claims_kept >= CLAIMS_KEPT_LEAST,
+            self.claim_retention >= CLAIMS_KEPT_LEAST,
             too_short("claims_kept_s")
         );
         ensure!(
@@ -367,7 +367,7 @@
     }
 
     /// True if `instance` is a life of this node.
-    pub fn is_own_machine(&self, instance: &NodeId) -> bool {
+    pub fn is_same_node(&self, instance: &NodeId) -> bool {
         let name = instance.as_str().split('/').next();
         name == Some(self.node.as_str())
     }
--- a/crates/sloetrail-serving/src/telemetry.rs
+++ b/crates/sloetrail-serving/src/telemetry.rs
@@ -82,14 +82,14 @@
 }
 
 /// A request was refused, since back ends crash under it.
-pub(crate) fn request_kept_back(service: &str) {
+pub(crate) fn request_quarantined(service: &str) {
     let service = SERVICES.bounded(service);
     counter!("sloetrail_requests_kept_back_total", "service" => service).increment(1);
 }
 
 /// A request found no place and others go first, since its tenant has more than its share
 /// under way.
-pub(crate) fn tenant_held_back(service: &str, may_wait: bool) {
+pub(crate) fn tenant_deferred(service: &str, may_wait: bool) {
     let service = SERVICES.bounded(service);
     let outcome = if may_wait { "waits" } else { "refused" };
     counter!("sloetrail_tenants_held_back_total", "service" => service, "outcome" => outcome)
@@ -128,7 +128,7 @@
 }
 
 /// Kept connections were closed because one to the same address was silent.
-pub(crate) fn connections_condemned(cause: &'static str, count: u64) {
+pub(crate) fn connections_evicted(cause: &'static str, count: u64) {
     counter!("sloetrail_connections_condemned_total", "cause" => cause).increment(count);
 }
 
@@ -148,12 +148,12 @@
 }
 
 /// A request that was to be counted was forgotten before the clock was agreed on.
-pub(crate) fn usage_forgotten() {
+pub(crate) fn usage_discarded() {
     counter!("sloetrail_usage_forgotten_total").increment(1);
 }
 
 /// Whether this node owns a service, and under which epoch; zero means not.
-pub(crate) fn lease_held(service: &str, epoch: u64) {
+pub(crate) fn set_lease_epoch(service: &str, epoch: u64) {
     let service = SERVICES.bounded(service);
     gauge!("sloetrail_lease_epoch", "service" => service).set(epoch as f64);
 }
@@ -172,7 +172,7 @@
 }
 
 /// What the node believes and how old it is, set when the figures are asked for.
-pub(crate) struct Beliefs {
+pub(crate) struct NodeGauges {
     pub(crate) configuration_revision: u64,
     pub(crate) directory_version: u64,
     /// Zones that are evacuated, or were in this life of the node.
@@ -180,7 +180,7 @@
     pub(crate) zones_evacuated: usize,
     pub(crate) back_ends_cold: usize,
     /// Back ends that the node knows, and how many the directory lists as far as it can tell.
-    pub(crate) back_ends_held: usize,
+    pub(crate) back_ends_known: usize,
     pub(crate) back_ends_listed: usize,
     /// When the questions were asked whose answers are in force.
     pub(crate) directory_age: Option<Duration>,
@@ -193,13 +193,13 @@
 }
 
 /// Sets the gauges of what the node believes.
-pub(crate) fn beliefs(beliefs: &Beliefs) {
+pub(crate) fn beliefs(beliefs: &NodeGauges) {
     gauge!("sloetrail_configuration_revision").set(beliefs.configuration_revision as f64);
     gauge!("sloetrail_directory_version").set(beliefs.directory_version as f64);
     gauge!("sloetrail_zones_evacuated").set(beliefs.zones_evacuated as f64);
     beliefs.zones.iter().for_each(evacuated_zone);
     gauge!("sloetrail_back_ends_cold").set(beliefs.back_ends_cold as f64);
-    gauge!("sloetrail_back_ends_held").set(beliefs.back_ends_held as f64);
+    gauge!("sloetrail_back_ends_held").set(beliefs.back_ends_known as f64);
     gauge!("sloetrail_back_ends_listed").set(beliefs.back_ends_listed as f64);
     if let Some(age) = beliefs.directory_age {
         gauge!("sloetrail_directory_view_age_seconds").set(age.as_secs_f64());
--- a/crates/sloetrail-serving/src/usage/node_usage.rs
+++ b/crates/sloetrail-serving/src/usage/node_usage.rs
@@ -61,7 +61,7 @@
         self.remembered.push_back(request);
         if self.remembered.len() > REMEMBERED_MOST {
             self.remembered.pop_front();
-            telemetry::usage_forgotten();
+            telemetry::usage_discarded();
         }
     }
 
--- a/crates/sloetrail-serving/tests/claims.rs
+++ b/crates/sloetrail-serving/tests/claims.rs
@@ -377,6 +377,6 @@
         ServingSettings::parse(json.to_string().as_bytes(), 1)
     };
     assert!(settings(59).is_err());
-    let retention = settings(60).expect("valid settings").bounds.claims_kept;
+    let retention = settings(60).expect("valid settings").bounds.claim_retention;
     assert_eq!(retention, Duration::from_secs(60));
 }
--- a/crates/sloetrail-serving/tests/crash_log.rs
+++ b/crates/sloetrail-serving/tests/crash_log.rs
@@ -41,11 +41,11 @@
     };
     let (status, ()) = tokio::join!(ask(&cluster, "r1", BODY), resetting);
     assert_eq!(status, 502, "it was lost, and may have run");
-    let lost = || async { reader.told("attempt_failed").pop() };
+    let lost = || async { reader.decisions("attempt_failed").pop() };
     let first = eventually("the loss is told", lost).await;
     assert_eq!(first["outcome"], "lost");
     tokio::time::sleep(Duration::from_millis(200)).await;
-    assert_eq!(reader.told("back_end_crashed"), Vec::<Value>::new());
+    assert_eq!(reader.decisions("back_end_crashed"), Vec::<Value>::new());
 
     let crashing = async {
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -59,7 +59,7 @@
     assert_eq!((status, other), (502, 502));
     // The second request may be found to have been there a moment after the first.
     let both = || async {
-        let crashes = reader.told("back_end_crashed");
+        let crashes = reader.decisions("back_end_crashed");
         let digests = crashes
             .iter()
             .filter_map(|crash| crash["digests"].as_array());
--- a/crates/sloetrail-serving/tests/support/log_reader.rs
+++ b/crates/sloetrail-serving/tests/support/log_reader.rs
@@ -21,7 +21,7 @@
     }
 
     /// The decisions of one kind, in order.
-    pub fn told(&self, event: &str) -> Vec<Value> {
+    pub fn decisions(&self, event: &str) -> Vec<Value> {
         let text = self.text();
         let lines = text
             .lines()
