--- a/crates/sloetrail-serving/src/context.rs
+++ b/crates/sloetrail-serving/src/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of a node share.
+//! State shared by the components of a node.
 
 use crate::back_end_connections::BackEndConnections;
 use crate::dialect::Dialect;
@@ -22,61 +22,59 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// What the parts of a node share.
 pub(crate) struct NodeContext {
     pub(crate) settings: ServingSettings,
     pub(crate) table: Arc<dyn Table>,
-    /// The other nodes, if nodes help each other out.
+    /// The other nodes; None if nodes do not relay table calls.
     pub(crate) peers: Option<Arc<Peers>>,
-    /// The claims of idempotency keys, where the dialect names these.
+    /// The claims of idempotency keys; None if the dialect has no such header.
     pub(crate) claims: Option<Arc<Claims>>,
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) connections: BackEndConnections,
     pub(crate) pools: Arc<ServicePools>,
     pub(crate) in_force: watch::Receiver<Arc<InForce>>,
     pub(crate) directory: watch::Receiver<Arc<Directory>>,
-    /// When the directory and the operator's rows were asked for that are in force.
+    /// When the directory and the operator's rows in force were requested from the table.
     pub(crate) directory_applied: LastApplied,
     pub(crate) operator_applied: LastApplied,
-    /// How much of the directory this node wants to hold.
+    /// The part of the directory that this node needs.
     pub(crate) subset_demand: Arc<SubsetDemand>,
-    /// Lives of back ends after which another one began.
+    /// Incarnations of back ends that were followed by another one.
     pub(crate) ended_incarnations: EndedIncarnationsReceiver,
     pub(crate) leases: ViewReceiver,
-    /// Sets of bound batches that have, or had, an owner.
+    /// Sets of bound batches that have or had an owner.
     pub(crate) leased_sets: watch::Receiver<Arc<LeasedSets>>,
-    /// How often the leases are asked for.
     pub(crate) lease_poll_timing: PollTiming,
     pub(crate) fleet: FleetSize,
-    /// What runs at back ends, by zone.
+    /// The work in flight at back ends, by zone.
     pub(crate) zone_work: Arc<ZoneWork>,
     pub(crate) pause_guard: Arc<PauseGuard>,
-    /// The requests under which back ends crash.
+    /// Requests that crash back ends.
     pub(crate) quarantine: Arc<Quarantine>,
-    /// Counts what tenants use, where that is to be reported.
+    /// Counts the usage of tenants; None if it is not reported.
     pub(crate) usage: Option<Arc<NodeUsage>>,
-    /// Starts engines and takes them away, where the deployment lets the node order that.
+    /// Starts and stops engines; None if the node may not order engines.
     pub(crate) engine_supply: Option<Arc<dyn EngineSupply>>,
 }
 
 impl NodeContext {
-    /// The configuration in force, once there is one.
+    /// Returns the configuration in force; None until one has been read.
     pub(crate) fn configuration(&self) -> Option<Arc<ServingConfiguration>> {
         self.in_force.borrow().configuration.clone()
     }
 
-    /// The bounds on what callers may send.
+    /// Returns the limits on requests of callers.
     pub(crate) fn limits(&self) -> RequestLimits {
         let configuration = self.configuration();
         configuration.map_or_else(RequestLimits::default, |configuration| configuration.limits)
     }
 
-    /// The most bytes of a back end's answer that are held.
+    /// Returns the maximum size of a buffered answer of a back end, in bytes.
     pub(crate) fn answer_limit(&self) -> usize {
         self.limits().body_bytes
     }
 
-    /// The field that begins an event at which the version of the weights changes.
+    /// Returns the field name that carries the weight version in an event stream.
     pub(crate) fn weight_version_field(&self) -> String {
         let name = &self.dialect.headers().weight_version;
         name.as_str().to_owned()
--- a/crates/sloetrail-serving/src/dialect.rs
+++ b/crates/sloetrail-serving/src/dialect.rs
@@ -1,8 +1,7 @@
-//! How the callers, engines and operators of a deployment spell things.
+//! The wire format of a deployment.
 //!
-//! The product works with its own types; a [`Dialect`] says which headers carry
-//! them, where the operator's rows lie and how an engine is asked and ordered.
-//! [`crate::native_dialect::NativeDialect`] is the product's own.
+//! The serving code uses its own types. A [`Dialect`] maps them to the headers, table rows and
+//! engine calls of a deployment; [`crate::native_dialect::NativeDialect`] is the default.
 
 use crate::back_end::{BackEnd, EngineStatus, OrderAnswer, VersionOrder};
 use crate::table::RowAddress;
@@ -11,7 +10,7 @@
 use sloetrail_types::{WeightVersion, ZoneName};
 use snafu::Snafu;
 
-/// The names of the headers that carry a request's particulars.
+/// The names of the headers that carry request metadata.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
     /// The request's id, echoed in the answer.
@@ -20,39 +19,38 @@
     pub deadline_ms: HeaderName,
     /// The back end's signature on an answer.
     pub signature: HeaderName,
-    /// The only life of a back end that may run the request.
+    /// The only incarnation of a back end that may run the request.
     pub expected_instance: HeaderName,
-    /// The life of the back end that answers.
+    /// The incarnation of the back end that answers.
     pub instance: HeaderName,
     /// Present on an answer to a request that was not run.
     pub not_run: HeaderName,
-    /// The only version of the weights that may run the request.
+    /// The only weight version that may run the request.
     pub expected_version: HeaderName,
-    /// The version of the weights that makes the events from here on; in lower
-    /// case it also begins a line within an event.
+    /// The weight version that produces the events from here on. In lower case it is also a field
+    /// of an event.
     pub weight_version: HeaderName,
-    /// The number of the last event that is held.
+    /// The number of the last event that the reader has received.
     pub last_event_id: HeaderName,
     /// The rank of a request at an engine, zero first.
     pub priority: HeaderName,
-    /// How long a reader waits for news, in milliseconds.
+    /// How long a reader waits for new results, in milliseconds.
     pub wait_ms: HeaderName,
     /// The caller's estimate of a text's length in tokens.
     pub length_hint: HeaderName,
-    /// The secret by which a caller shows its tenant.
+    /// The secret that identifies the caller's tenant.
     pub api_key: HeaderName,
-    /// The tenant, as back ends are told it.
+    /// The tenant, sent to back ends.
     pub tenant: HeaderName,
-    /// The key under which a request that may not repeat runs at most once, however often and
-    /// to whatever node it is sent; without a name no request has one.
+    /// The key under which a request runs at most once, across repeats and nodes. None disables
+    /// idempotency keys.
     pub idempotency_key: Option<HeaderName>,
-    /// The version of the configuration that a call was answered under; without a name it is
-    /// not told.
+    /// The configuration version under which a call was answered. None omits the header.
     pub configuration_version: Option<HeaderName>,
 }
 
 impl HeaderNames {
-    /// The product's own names.
+    /// Returns the names of the native dialect.
     pub fn native() -> Self {
         Self {
             request_id: HeaderName::from_static("sloetrail-request-id"),
@@ -75,13 +73,12 @@
     }
 }
 
-/// Paths of the calls that trainers and the platform make. A batch's id follows the
-/// path.
+/// Paths of the calls of trainers and the platform. The id of the batch follows the path.
 #[derive(Clone, Debug)]
 pub struct CallerPaths {
-    /// Reading results (GET) and ending a batch (DELETE).
+    /// Reads results (GET) or ends a batch (DELETE).
     pub batches: String,
-    /// Reading the body of an item (GET).
+    /// Reads the body of an item (GET).
     pub batch_items: String,
 }
 
@@ -94,85 +91,74 @@
     }
 }
 
-/// Where the operator's and the back ends' rows lie.
+/// Locations of the rows that operators and back ends write.
 #[derive(Clone, Debug)]
 pub struct SourceRows {
-    /// The row that holds the configuration.
     pub configuration: RowAddress,
-    /// The table that lists the back ends, one row each, in the empty partition.
+    /// The table with one row for each back end, in the empty partition.
     pub directory_table: String,
 }
 
-/// A version of a model's weights that its trainer has published.
+/// A weight version that a trainer has published.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PublishedVersion {
-    /// The model.
     pub model: String,
-    /// The version.
     pub version: WeightVersion,
 }
 
 /// A call to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineCall {
-    /// The method.
     pub method: Method,
-    /// The path.
     pub path: String,
-    /// The JSON body, which may be empty.
+    /// The JSON body; may be empty.
     pub body: Bytes,
 }
 
-/// A message that cannot be read.
+/// A message that cannot be decoded.
 #[derive(Debug, Snafu)]
 #[snafu(display("cannot be read: {message}"))]
 pub struct DialectError {
-    /// What is wrong with it.
     pub message: String,
 }
 
-/// How a deployment spells things.
+/// Maps the types of the serving code to the wire format of a deployment.
 pub trait Dialect: Send + Sync {
-    /// The names of headers.
     fn headers(&self) -> &HeaderNames;
 
-    /// The paths of batches.
     fn paths(&self) -> &CallerPaths;
 
-    /// True if listed results name which engine made which events of a text. Where they do
-    /// not, the engines are not kept either.
+    /// True if results list the engine of each segment of a text. Otherwise the engines are not
+    /// stored either.
     fn lists_segments(&self) -> bool {
         false
     }
 
-    /// The query parameter with which a reader of results names the oldest version that its
-    /// trainer takes now; absent where readers cannot.
+    /// The query parameter for the oldest version that a reader of results accepts; None if
+    /// readers cannot name one.
     fn oldest_version_parameter(&self) -> Option<&str> {
         None
     }
 
-    /// Where the rows lie that others write.
     fn sources(&self) -> &SourceRows;
 
-    /// Reads a back end's row.
     fn back_end(&self, id: &str, value: &[u8]) -> Result<BackEnd, DialectError>;
 
-    /// Reads a row of the configuration's table as a published version, if it is one.
+    /// Decodes a row of the configuration table as a published version; None if it is another
+    /// row.
     fn published_version(&self, key: &str, value: &[u8]) -> Option<PublishedVersion>;
 
-    /// Reads the key of a row of the configuration's table as the evacuation of a zone, if it
-    /// is one. The row is there for as long as the operator asks for it.
+    /// Returns the zone that a row key of the configuration table evacuates; None if it is another
+    /// row. The evacuation lasts as long as the row exists.
     fn evacuated_zone(&self, key: &str) -> Option<ZoneName>;
 
-    /// The call that asks an engine for its status.
+    /// The call that requests the status of an engine.
     fn status_call(&self) -> EngineCall;
 
-    /// Reads an engine's status.
     fn status(&self, body: &[u8]) -> Result<EngineStatus, DialectError>;
 
-    /// The call that gives an order.
+    /// The call that orders an engine to change its weight version.
     fn order_call(&self, order: &VersionOrder) -> EngineCall;
 
-    /// Reads the answer to an order.
     fn order_answer(&self, status: StatusCode) -> OrderAnswer;
 }
--- a/crates/sloetrail-serving/src/event_stream.rs
+++ b/crates/sloetrail-serving/src/event_stream.rs
@@ -1,34 +1,31 @@
-//! Reading a series of events (`text/event-stream`) from pieces of any size.
+//! Incremental parser for event streams (`text/event-stream`).
 
-/// One event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its number, if it carries one.
     pub id: Option<u64>,
-    /// Its data; several data lines are joined by line feeds.
+    /// The data lines, joined by line feeds.
     pub data: String,
-    /// The value of the extra field that the parser looks for.
+    /// The value of the parser's extra field.
     pub extra: Option<u64>,
-    /// The bytes of the event as they came, with the empty line that ends it.
+    /// The unmodified text of the event, including the empty line at its end.
     pub raw: String,
 }
 
-/// A series that cannot be read.
+/// A stream that is not UTF-8, has a malformed number or an event over the size limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MalformedStream;
 
-/// Takes in pieces and gives whole events.
+/// Splits a byte stream into complete events.
 #[derive(Clone, Debug)]
 pub struct EventParser {
     extra_field: String,
     buffer: Vec<u8>,
 }
 
-/// Bytes of one event beyond which a series counts as malformed.
-const EVENT_BYTES_LIMIT: usize = 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 impl EventParser {
-    /// A parser that also reads the field `extra_field` as a number.
+    /// Creates a parser that also reads the field `extra_field` as a number.
     pub fn new(extra_field: impl Into<String>) -> Self {
         Self {
             extra_field: extra_field.into(),
@@ -36,7 +33,7 @@
         }
     }
 
-    /// Takes in bytes and returns the events that they complete.
+    /// Appends bytes and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<StreamEvent>, MalformedStream> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -48,13 +45,13 @@
                 events.push(event);
             }
         }
-        if self.buffer.len() > EVENT_BYTES_LIMIT {
+        if self.buffer.len() > MAX_EVENT_BYTES {
             return Err(MalformedStream);
         }
         Ok(events)
     }
 
-    /// True if an event has begun and not ended.
+    /// True if the buffer contains an incomplete event.
     pub fn is_within_event(&self) -> bool {
         !self.buffer.is_empty()
     }
@@ -79,7 +76,7 @@
     }
 }
 
-/// Where the first event ends: after the first empty line.
+/// Returns the position after the first empty line, which ends an event.
 fn end_of_event(buffer: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (position, byte) in buffer.iter().enumerate() {
--- a/crates/sloetrail-serving/src/events.rs
+++ b/crates/sloetrail-serving/src/events.rs
@@ -1,10 +1,9 @@
-//! What a node writes down: one typed event for each decision.
+//! Typed events of the node's log, one for each decision.
 //!
-//! Each event is one JSON line. The lines go through a bounded queue to one writer
-//! thread, so that a reader of standard output that stops does not stop the node;
-//! what does not fit is counted and said in a later line. Ordinary successes are
-//! thinned by a limit a second, and so are refusals of unknown keys; other failures and
-//! refusals are not.
+//! Each event is one JSON line. Lines go through a bounded queue to a writer thread, so that a
+//! blocked reader of standard output does not block the node. Lines that do not fit into the
+//! queue are counted and reported in a later line. Frequent events, such as successful requests
+//! and refused keys, are limited per second; other failures and refusals are not.
 
 mod part;
 mod rate_limiter;
@@ -15,587 +14,479 @@
 use rate_limiter::RateLimiter;
 use serde::Serialize;
 
-/// A decision, or a change of what the node believes.
+/// A decision of the node, or a change of its state.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event<'a> {
-    /// The node started.
     NodeStarted {
-        /// Its name.
         node: &'a str,
-        /// Its zone.
         zone: &'a str,
-        /// This life's id.
+        /// The incarnation of the node.
         instance: &'a str,
-        /// The program's version.
         version: &'a str,
     },
-    /// The node was told to stop.
+    /// The node was asked to stop.
     NodeStopping {
-        /// Requests that are being answered.
+        /// Requests in flight.
         requests: usize,
-        /// Connections that are open.
         connections: usize,
     },
-    /// The node has stopped.
     NodeStopped {
-        /// Requests that were cut.
+        /// Requests in flight, which are cut off.
         requests: usize,
     },
-    /// The settings were read again.
+    /// The settings file was read again.
     SettingsReloaded {
-        /// Whether they could be taken in.
         outcome: &'a str,
-        /// What was wrong with them.
+        /// The error; empty if the settings were applied.
         detail: &'a str,
     },
-    /// A connection stayed silent, and those kept to the same address before were closed.
+    /// A connection was unresponsive; the pooled connections to its address were closed.
     ConnectionsCondemned {
-        /// The address.
         address: &'a str,
-        /// What showed the silence.
+        /// The sign of unresponsiveness.
         cause: &'a str,
-        /// How many were closed.
+        /// The number of closed connections.
         connections: usize,
     },
-    /// Something that the node relies on does not answer.
+    /// A dependency does not answer.
     DependencyLost {
-        /// What.
+        /// The name of the dependency.
         dependency: &'a str,
     },
-    /// It answers again.
+    /// A dependency answers again.
     DependencyRegained {
-        /// What.
+        /// The name of the dependency.
         dependency: &'a str,
     },
-    /// The table does not answer this node; another one carries its calls.
+    /// The table does not answer this node; a peer relays its calls.
     RelayBegan {
-        /// The node that carries them.
+        /// The name of the relaying node.
         peer: &'a str,
     },
-    /// The node that carried calls for this one does so no more.
+    /// The peer no longer relays the calls of this node.
     RelayEnded {
-        /// The node that carried them.
+        /// The name of the relaying node.
         peer: &'a str,
-        /// Why.
         cause: &'a str,
     },
     /// A configuration is in force.
     ConfigurationInForce {
-        /// Its revision.
         revision: u64,
-        /// How many routes it has.
+        /// The number of routes.
         routes: usize,
     },
     /// A route and a tenant of the configuration in force have no region in common.
     RegionsExclude {
-        /// The route.
         route: &'a str,
-        /// The tenant.
         tenant: &'a str,
-        /// The revision of the configuration.
         revision: u64,
     },
-    /// A configuration cannot be put in force; the one before stays.
+    /// A configuration is invalid; the previous one stays in force.
     ConfigurationRefused {
-        /// The version of its row.
+        /// The version of the row that contains the configuration.
         row_version: u64,
-        /// Why.
         detail: &'a str,
     },
-    /// A row that others write cannot be read; it is left out.
+    /// A row of another writer cannot be decoded and is ignored.
     RowUnreadable {
-        /// Its table.
         table: &'a str,
-        /// Its key.
         key: &'a str,
-        /// Why.
         detail: &'a str,
     },
-    /// A trainer has published a version.
+    /// A trainer has published a weight version.
     VersionPublished {
-        /// The model.
+        /// The name of the model.
         model: &'a str,
-        /// The version.
         version: u64,
     },
-    /// The operator asked that nothing further be sent to the back ends of a zone, or
-    /// withdrew that.
+    /// The operator started or withdrew the evacuation of a zone.
     EvacuationChanged {
-        /// The zone.
         zone: &'a str,
-        /// True if it is asked for, false if it was withdrawn.
+        /// True if the evacuation was started, false if it was withdrawn.
         evacuated: bool,
     },
-    /// Nothing that this node sent to the back ends of an evacuated zone runs there any more.
+    /// No work of this node runs in an evacuated zone any more.
     EvacuationSettled {
-        /// The zone.
         zone: &'a str,
-        /// How long after the evacuation was in force here, in milliseconds.
+        /// The time since the evacuation took effect on this node.
         after_ms: u64,
     },
-    /// The configuration binds batches to regions, and this node does not know in which one it
-    /// lies: it owns none of them.
+    /// The configuration binds batches to regions, but the region of this node is unknown: it owns
+    /// no bound batch.
     OwnRegionUnknown {
-        /// Its zone.
         zone: &'a str,
-        /// How many sets of bound batches there are.
+        /// The number of sets of bound batches.
         sets: usize,
     },
     /// A back end joined, left or changed its state.
     BackEndChanged {
-        /// The back end.
         back_end: &'a str,
-        /// Its service.
         service: &'a str,
         /// `ready`, `cold`, `draining` or `gone`.
         state: &'a str,
-        /// The version of the directory.
         directory_version: u64,
     },
     /// A live request has its final answer.
     RequestAnswered {
-        /// The request.
         request: &'a str,
-        /// Its route.
         route: &'a str,
-        /// The status given.
         status: u16,
-        /// The back end that answered.
         back_end: &'a str,
-        /// Back ends that it was sent to.
         attempts: usize,
-        /// How long it took, in milliseconds.
         took_ms: u64,
-        /// The revision of the configuration that routed it.
         revision: u64,
     },
-    /// A live request was refused or failed by the node.
+    /// The node refused a live request or failed to get an answer for it.
     RequestFailed {
-        /// The request.
         request: &'a str,
-        /// Its route, or its host and path.
+        /// The route, or host and path if no route matches.
         route: &'a str,
-        /// The status given.
         status: u16,
-        /// The result code.
         code: u16,
-        /// Back ends that it was sent to.
         attempts: usize,
-        /// How long it took, in milliseconds.
         took_ms: u64,
-        /// How much time was left, in milliseconds.
+        /// The time left until the deadline.
         left_ms: u64,
-        /// The revision of the configuration that routed it.
         revision: u64,
-        /// The regions that it may be served in, `everywhere` or `nowhere`; `-` if it was
-        /// refused before they were known.
+        /// The regions that may serve the request, `everywhere` or `nowhere`; `-` if they are
+        /// unknown.
         regions: &'a str,
-        /// A short sentence.
         detail: &'a str,
     },
-    /// One attempt at a back end ended without an answer to pass on.
+    /// An attempt at a back end ended without an answer to return.
     AttemptFailed {
         /// The request or item.
         request: &'a str,
-        /// The back end.
         back_end: &'a str,
-        /// How it ended.
         outcome: &'a str,
-        /// How long it took, in milliseconds.
         took_ms: u64,
-        /// The version of the directory that named the back end.
+        /// The version of the directory that lists the back end.
         directory_version: u64,
-        /// The digest of the request, which it keeps when it comes again under another id;
-        /// `-` if it has not run.
+        /// The digest of the request without its id, so that repeats match; `-` if it has not run.
         digest: &'a str,
     },
-    /// The directory was read anew, or more of it than before.
+    /// The directory was read again, or a larger subset of it.
     DirectoryRead {
-        /// Rows that are held.
+        /// The number of rows in memory.
         rows: usize,
-        /// True if these are all.
+        /// True if these are all rows of the directory.
         whole: bool,
     },
-    /// Another life of a back end has begun under the same name: what ran in the one before is
-    /// lost.
+    /// A new incarnation of a back end has started; the work of the previous one is lost.
     BackEndRestarted {
-        /// The life that began.
+        /// The new incarnation.
         back_end: &'a str,
-        /// The life before.
+        /// The previous incarnation.
         before: &'a str,
-        /// True if that one had said that it leaves.
+        /// True if the previous incarnation had announced that it was leaving.
         planned: bool,
     },
-    /// A back end that took work has crashed while requests of this node were there.
+    /// A back end crashed while requests of this node ran there.
     BackEndCrashed {
-        /// The back end.
         back_end: &'a str,
-        /// Its service.
         service: &'a str,
-        /// The digests of the requests; told again if there are more.
+        /// The digests of the requests. The event is repeated when more are found.
         digests: &'a [String],
     },
-    /// A request is kept from the back ends of a service, since they crash under it.
+    /// A request is quarantined, because back ends of the service crash while running it.
     RequestHeld {
-        /// Its digest.
         digest: &'a str,
-        /// The service.
         service: &'a str,
-        /// Back ends that crashed under it.
+        /// The number of back ends that crashed while running the request.
         crashes: usize,
-        /// False if another request explains the crashes as well: both may be tried.
+        /// False if another request explains the crashes as well; both may then be tried.
         clear: bool,
     },
-    /// A request is no longer kept from the back ends of a service.
+    /// A request is released from quarantine for a service.
     RequestReleased {
-        /// Its digest.
+        /// The digest of the request.
         digest: &'a str,
-        /// The service.
         service: &'a str,
     },
-    /// A request is tried at one back end of a service.
+    /// A quarantined request is tried at one back end of the service.
     RequestTried {
-        /// Its digest.
+        /// The digest of the request.
         digest: &'a str,
-        /// The service.
         service: &'a str,
     },
-    /// What became of a keyed request could not be written to the claim of its key: repeats
-    /// are told that the outcome is not known.
+    /// The outcome of a keyed request could not be written to its claim. Repeats are answered that
+    /// the outcome is unknown.
     ClaimLeft {
-        /// The request.
         request: &'a str,
-        /// What was to be written: `released` or `answered`.
+        /// The state to be written: `released` or `answered`.
         state: &'a str,
-        /// Why it was not.
         cause: &'a str,
     },
-    /// Claims of idempotency keys were deleted after their time.
+    /// Expired claims of idempotency keys were deleted.
     ClaimsDeleted {
-        /// How many.
+        /// The number of deleted claims.
         claims: usize,
     },
-    /// A batch was accepted, or found accepted before.
+    /// A batch was accepted, now or by an earlier submission.
     BatchAccepted {
-        /// The batch.
         batch: &'a str,
-        /// The service that runs it.
         service: &'a str,
-        /// Its items.
         items: usize,
-        /// True if it was accepted before.
+        /// True if an earlier submission was accepted.
         repeated: bool,
-        /// The regions that it is bound to, or `everywhere`.
+        /// The regions that the batch is bound to, or `everywhere`.
         regions: &'a str,
-        /// How long it took, in milliseconds.
         took_ms: u64,
     },
-    /// A batch that is submitted waits, since the table does not answer.
+    /// The submission of a batch waits because the table does not answer.
     BatchWaits {
-        /// The batch.
+        /// The id of the batch.
         batch: &'a str,
     },
-    /// A batch was not accepted.
     BatchRefused {
-        /// The batch.
         batch: &'a str,
-        /// The result code.
         code: u16,
-        /// A short sentence.
         detail: &'a str,
     },
     /// A batch was ended by its trainer.
     BatchEnded {
-        /// The batch.
         batch: &'a str,
-        /// Items that were not listed.
+        /// Items without a listed result.
         unfinished: usize,
     },
-    /// The owner has taken in a batch.
+    /// The owner has loaded a batch.
     BatchOpened {
-        /// The batch.
         batch: &'a str,
-        /// Its items.
         items: usize,
-        /// Results that are listed already.
+        /// Results already listed.
         listed: usize,
-        /// The owner's epoch.
         epoch: u64,
-        /// Its age by the table's clock, in milliseconds.
+        /// The age of the batch by the table's clock.
         age_ms: u64,
-        /// The regions that it is bound to, or `everywhere`.
+        /// The regions that the batch is bound to, or `everywhere`.
         regions: &'a str,
     },
     /// An item was sent to an engine.
     ItemStarted {
-        /// The item.
         item: &'a str,
-        /// Its batch.
         batch: &'a str,
-        /// The engine.
         back_end: &'a str,
-        /// The number of the last event that is held.
+        /// The number of the last event received so far.
         last_event: u64,
-        /// The version that the engine is believed to use.
+        /// The version that the engine last reported.
         version: u64,
-        /// Items that wait in the batch.
+        /// Waiting items of the batch.
         waiting: usize,
     },
-    /// A run of an item ended without its whole text.
+    /// A run of an item ended before its text was complete.
     ItemInterrupted {
-        /// The item.
         item: &'a str,
-        /// Its batch.
         batch: &'a str,
-        /// The engine.
         back_end: &'a str,
-        /// How it ended.
         outcome: &'a str,
-        /// Events that are held.
+        /// Events received so far.
         events: usize,
-        /// How long it took, in milliseconds.
         took_ms: u64,
     },
-    /// An item's run is closed to go on at a faster engine.
+    /// The run of an item was closed to continue on a faster engine.
     ItemMoved {
-        /// The item.
         item: &'a str,
-        /// Its batch.
         batch: &'a str,
-        /// The engine that it ran on.
         from: &'a str,
-        /// The engine that it goes on at.
         to: &'a str,
-        /// Events that are still expected.
+        /// The expected number of further events.
         remaining_events: u64,
-        /// The time that this is expected to save, in milliseconds.
+        /// The expected saving of time.
         gain_ms: u64,
     },
-    /// An item is given up.
+    /// An item has failed for good.
     ItemDead {
-        /// The item.
         item: &'a str,
-        /// Its batch.
         batch: &'a str,
-        /// Why.
         cause: &'a str,
     },
     /// An item's result was committed.
     ItemListed {
-        /// The item.
         item: &'a str,
-        /// Its batch.
         batch: &'a str,
-        /// Its position.
+        /// The position among the results of the batch.
         position: usize,
-        /// The versions that made it.
+        /// The weight versions that produced the text.
         versions: &'a [u64],
-        /// How long the commit took, in milliseconds.
         commit_ms: u64,
     },
-    /// A reader was told of results without their texts, which are older than it takes.
+    /// Results older than the reader's oldest accepted version were returned without their texts.
     ResultsTooOld {
-        /// The batch.
         batch: &'a str,
-        /// The position from which it read.
+        /// The position of the first result read.
         position: usize,
-        /// How many of the results.
+        /// The number of results returned without texts.
         results: usize,
-        /// The oldest version that it takes.
+        /// The oldest version that the reader accepts.
         oldest_version: u64,
     },
-    /// The groups that a trainer waits for are whole. The parts of the age, which add
-    /// up to it, are those of the item that was listed last.
+    /// The groups that a trainer requires are complete. The parts of the age add up to it and are
+    /// those of the item that was listed last.
     StepWhole {
-        /// The batch.
         batch: &'a str,
-        /// The groups that are waited for.
+        /// The number of required groups.
         groups: usize,
-        /// The age of the batch, in milliseconds.
+        /// The age of the batch.
         age_ms: u64,
-        /// Its age when this owner opened it.
+        /// The age of the batch when this owner opened it.
         opened_ms: u64,
         /// The item that was listed last.
         item: &'a str,
-        /// True if its group was expected to be among those waited for.
+        /// True if the group of the item was expected to be among the required ones.
         wanted: bool,
-        /// From the opening to the item's first run.
+        /// From the opening of the batch to the item's first run.
         waiting_ms: u64,
-        /// At engines.
+        /// The time on engines.
         running_ms: u64,
-        /// At no engine, between two runs.
+        /// The time between runs.
         between_runs_ms: u64,
-        /// Being scored.
         scoring_ms: u64,
-        /// Being committed.
         committing_ms: u64,
         /// The item's runs under this owner.
         runs: usize,
-        /// Events that these have made, those made again included.
+        /// The events of these runs, including repeated ones.
         events_made: usize,
-        /// The most events of an item of a whole group.
+        /// The largest number of events of an item in a complete group.
         longest_events: usize,
-        /// What these take on the fastest engine: no step could be shorter.
+        /// The duration of that item on the fastest engine: a lower bound for the step.
         least_ms: u64,
-        /// The owner's epoch.
         epoch: u64,
     },
-    /// A reward call did not give a score.
+    /// A reward call returned no score.
     RewardFailed {
-        /// The item.
         item: &'a str,
-        /// The call.
+        /// The reward call.
         reward: &'a str,
-        /// Answers of failure so far.
+        /// The number of failed answers so far.
         failures: usize,
-        /// What happened.
         outcome: &'a str,
     },
     /// This node has become the owner of a service.
     LeaseTaken {
-        /// The service.
         service: &'a str,
-        /// The epoch.
         epoch: u64,
-        /// The owner before.
         previous: &'a str,
-        /// How long the lease was unchanged, in milliseconds.
+        /// How long the lease was unchanged.
         unchanged_ms: u64,
     },
-    /// A watcher has found the owner of a service gone and competes for its lease.
+    /// A watcher has found the owner of a service unreachable and competes for its lease.
     OwnerFoundGone {
-        /// The owner.
         holder: &'a str,
-        /// What was seen last.
+        /// The last observed state of the owner.
         seen: &'a str,
-        /// How long it took since the last sign of life, in milliseconds.
+        /// The time since the last sign of life.
         silent_ms: u64,
     },
     /// This node is no longer the owner of a service.
     LeaseLost {
-        /// The service.
         service: &'a str,
-        /// The epoch that it had.
+        /// The epoch that has ended.
         epoch: u64,
-        /// How it found out.
         cause: &'a str,
     },
-    /// An engine was ordered to use a version.
+    /// An engine was ordered to use a weight version.
     OrderGiven {
-        /// The engine.
         back_end: &'a str,
-        /// The model.
         model: &'a str,
-        /// The version.
         version: u64,
-        /// The epoch under which it was given.
+        /// The epoch of the owner.
         epoch: u64,
         /// The engine's answer.
         outcome: &'a str,
     },
-    /// An engine uses a version that it did not use before.
+    /// An engine uses a new weight version.
     VersionInForce {
-        /// The engine.
         back_end: &'a str,
-        /// The model.
         model: &'a str,
-        /// The version.
         version: u64,
-        /// How the node knows.
+        /// The source of this knowledge.
         source: &'a str,
     },
-    /// An engine is much slower than the others, or no longer is.
+    /// An engine became much slower than the others, or caught up with them.
     PaceChanged {
-        /// The engine.
         back_end: &'a str,
-        /// True if it is slow.
+        /// True if the engine is slow now.
         slow: bool,
-        /// Microseconds an event.
+        /// The event interval of the engine.
         pace_us: u64,
-        /// The median of all engines.
+        /// The median event interval of all engines.
         median_us: u64,
     },
-    /// The owner of bound batches told what these take of the engines.
+    /// The owner of bound batches reported their slot demand.
     DemandTold {
-        /// The name of its lease.
+        /// The name of the lease.
         service: &'a str,
-        /// Places that they took on average since the last time.
+        /// Slots used on average since the last report.
         busy: usize,
-        /// Places that they would take if there were enough.
+        /// Slots that the batches could use.
         wanted: usize,
-        /// The longest step since then, in percent of its time.
+        /// The longest step since the last report, in percent of its target.
         step_percent: Option<u32>,
-        /// The epoch of the owner.
         epoch: u64,
-        /// What became of the row.
+        /// The outcome of the write.
         outcome: &'a str,
     },
     /// A number of engines was ordered for a zone.
     EnginesOrdered {
-        /// The service.
         service: &'a str,
-        /// The zone.
         zone: &'a str,
-        /// How many engines it is to have.
+        /// The ordered number of engines.
         engines: usize,
-        /// The epoch under which it was ordered.
+        /// The epoch of the owner.
         epoch: u64,
-        /// What became of the order.
         outcome: &'a str,
-        /// The status, if it was refused.
+        /// The HTTP status of a refusal.
         status: Option<u16>,
     },
-    /// A report of what tenants used was sent.
+    /// A report of tenant usage was sent.
     UsageReported {
-        /// The window.
         window: u64,
-        /// Tenants with a request in it.
+        /// Tenants with at least one request in the window.
         tenants: usize,
         /// Requests of all tenants.
         requests: u64,
-        /// The epoch under which it was sent.
+        /// The epoch of the reporter.
         epoch: u64,
-        /// How long after the end of the window, in milliseconds.
+        /// The time since the end of the window.
         after_end_ms: u64,
-        /// What became of it.
         outcome: &'a str,
-        /// The status, if it was refused for good.
+        /// The HTTP status of a final refusal.
         status: Option<u16>,
     },
-    /// Counts of windows that were reported before were found: they came too late, or they
-    /// were reported and could not be deleted then.
+    /// Counts of an earlier window were found: they arrived after its report, or were reported but
+    /// not deleted.
     UsageLeft {
         /// The window that is reported now.
         window: u64,
         /// Requests that are in no report, or in one already.
         requests: u64,
     },
-    /// The nodes' wall clock was set: how far it is ahead of the table's clock.
+    /// The nodes' wall clock was set relative to the table's clock.
     WallClockAgreed {
-        /// The lead, in milliseconds.
+        /// How far the wall clock is ahead of the table's clock.
         lead_ms: i64,
-        /// Nodes whose clocks were compared.
+        /// The number of nodes whose clocks were compared.
         nodes: usize,
     },
     /// The process did not run for a while.
     ProcessPaused {
-        /// How long, in milliseconds.
+        /// The duration of the pause.
         paused_ms: u64,
     },
-    /// Lines that were not written.
+    /// Lines were dropped from the log.
     LinesDropped {
-        /// How many did not fit into the queue.
+        /// Lines that did not fit into the queue.
         overflow: u64,
-        /// How many were thinned out.
+        /// Lines over a rate limit.
         thinned: u64,
     },
 }
 
-/// Writes an event down, without waiting.
+/// Queues an event for the log without blocking. Events over their rate limit are dropped.
 pub fn emit(event: &Event<'_>) {
     let part = event.part();
-    debug_assert!(writer::PARTS.contains(&part), "{part} is written by nobody");
+    debug_assert!(writer::PARTS.contains(&part), "{part} is missing in PARTS");
     if !log::log_enabled!(target: part, log::Level::Info) {
         return;
     }
--- a/crates/sloetrail-serving/src/events/part.rs
+++ b/crates/sloetrail-serving/src/events/part.rs
@@ -1,14 +1,14 @@
-//! Which part of the program an event belongs to, and which events are thinned out.
+//! The log target and the rate limit of each event.
 
 use super::Event;
 use super::rate_limiter::RateLimiter;
 use sloetrail_result::ResultCode;
 
-/// Lines a second of one kind of ordinary event, and of refused keys.
+/// The limit for each kind of frequent event.
 const ORDINARY_LINES_PER_SECOND: u32 = 20;
 
 impl Event<'_> {
-    /// The part of the program that an event belongs to; it becomes the prefix.
+    /// The part of the program that the event belongs to, used as its log target.
     pub fn part(&self) -> &'static str {
         match self {
             Event::NodeStarted { .. }
@@ -68,14 +68,13 @@
         }
     }
 
-    /// The limit that thins this event out, if it is one that happens many times a
-    /// second in the ordinary course of things.
+    /// The rate limit of a frequent event; None if every event is logged.
     pub(super) fn limiter(&self) -> Option<&'static RateLimiter> {
         match self {
             Event::RequestAnswered { .. } => Some(&REQUESTS_ANSWERED),
-            // Anybody can send wrong keys, as many as they like.
+            // Unauthenticated callers can send any number of wrong keys.
             Event::RequestFailed { code, .. } if is_refused_key(*code) => Some(&KEYS_REFUSED),
-            // Another writer may write anything, as often as it likes.
+            // Other writers of the table can write any number of malformed rows.
             Event::RowUnreadable { .. } => Some(&ROWS_UNREADABLE),
             Event::ItemStarted { .. } => Some(&ITEMS_STARTED),
             Event::ItemListed { .. } => Some(&ITEMS_LISTED),
@@ -85,7 +84,7 @@
     }
 }
 
-/// True if a code refuses a key: for good, or while the table does not tell whether it is new.
+/// True if a code refuses a key: permanently, or while the node cannot check whether it is new.
 fn is_refused_key(code: u16) -> bool {
     [ResultCode::UnknownApiKey, ResultCode::ConfigurationStale]
         .iter()
@@ -99,7 +98,7 @@
 static ITEMS_LISTED: RateLimiter = RateLimiter::new(ORDINARY_LINES_PER_SECOND);
 static ITEMS_MOVED: RateLimiter = RateLimiter::new(ORDINARY_LINES_PER_SECOND);
 
-/// How many lines were thinned out since the last question.
+/// Returns the number of lines over their rate limit since the last call.
 pub(super) fn take_thinned() -> u64 {
     let limiters = [
         &REQUESTS_ANSWERED,
--- a/crates/sloetrail-serving/src/events/part/tests.rs
+++ b/crates/sloetrail-serving/src/events/part/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn refusals_of_unknown_keys_are_thinned_also_while_the_table_is_away() {
+fn refused_keys_are_rate_limited_even_without_the_table() {
     for code in [ResultCode::UnknownApiKey, ResultCode::ConfigurationStale] {
         let event = refusal(code);
         let limiter = event.limiter().expect("a limiter");
--- a/crates/sloetrail-serving/src/events/rate_limiter.rs
+++ b/crates/sloetrail-serving/src/events/rate_limiter.rs
@@ -1,31 +1,31 @@
-//! A limit of lines a second.
+//! Rate limiter for log lines.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Admits a number of lines in each second and counts the others.
+/// Admits up to a maximum number of lines in each second and counts the refused ones.
 pub(super) struct RateLimiter {
-    per_window: u32,
+    max_per_window: u32,
     state: Mutex<State>,
 }
 
 struct State {
-    window_began: Option<Instant>,
+    window_started_at: Option<Instant>,
     admitted: u32,
     refused: u64,
 }
 
 impl RateLimiter {
-    pub(super) const fn new(per_window: u32) -> Self {
+    pub(super) const fn new(max_per_window: u32) -> Self {
         let state = State {
-            window_began: None,
+            window_started_at: None,
             admitted: 0,
             refused: 0,
         };
         Self {
-            per_window,
+            max_per_window,
             state: Mutex::new(state),
         }
     }
@@ -33,12 +33,12 @@
     pub(super) fn admit(&self) -> bool {
         let now = Instant::now();
         let mut state = self.state.lock().expect("not poisoned");
-        let is_over = |began: Instant| now.saturating_duration_since(began) >= WINDOW;
-        if state.window_began.is_none_or(is_over) {
-            state.window_began = Some(now);
+        let is_over = |started_at: Instant| now.saturating_duration_since(started_at) >= WINDOW;
+        if state.window_started_at.is_none_or(is_over) {
+            state.window_started_at = Some(now);
             state.admitted = 0;
         }
-        if state.admitted >= self.per_window {
+        if state.admitted >= self.max_per_window {
             state.refused += 1;
             return false;
         }
@@ -46,7 +46,7 @@
         true
     }
 
-    /// How many lines were refused since the last question.
+    /// Returns the number of lines refused since the last call.
     pub(super) fn take_refused(&self) -> u64 {
         let mut state = self.state.lock().expect("not poisoned");
         std::mem::take(&mut state.refused)
--- a/crates/sloetrail-serving/src/events/writer.rs
+++ b/crates/sloetrail-serving/src/events/writer.rs
@@ -1,4 +1,4 @@
-//! One thread that writes lines to standard output, fed by a bounded queue.
+//! Log writer: a thread that writes the lines of a bounded queue to standard output.
 
 use super::Event;
 use super::rate_limiter::RateLimiter;
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const QUEUE_LINES: usize = 1024;
-/// The parts of the program that typed events come from.
+/// Log targets of typed events.
 pub(super) const PARTS: [&str; 9] = [
     "node", "table", "config", "engine", "gateway", "batch", "lease", "weights", "usage",
 ];
@@ -21,13 +21,15 @@
 static OVERFLOW: AtomicU64 = AtomicU64::new(0);
 static QUEUED: AtomicU64 = AtomicU64::new(0);
 static WRITTEN: AtomicU64 = AtomicU64::new(0);
-const FLUSH_STEP: Duration = Duration::from_millis(2);
-/// What was dropped is said once a second at most.
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Limits reports of dropped lines to one a second.
 static DROP_REPORTS: RateLimiter = RateLimiter::new(1);
 
-/// Logging cannot start: it was started before, or no thread can be had.
+/// Logging was started before, or the writer thread cannot be created.
 #[derive(Debug, Snafu)]
-#[snafu(display("logging cannot start"))]
+#[snafu(display(
+    "cannot start logging: a logger is already installed or the writer thread failed to start"
+))]
 pub struct LoggingError;
 
 #[derive(Serialize)]
@@ -41,7 +43,7 @@
     message: Option<&'a str>,
 }
 
-/// Starts logging to standard output. `node` names the writer in each line.
+/// Starts logging to standard output. Each line names `node`.
 pub fn start(level: LevelFilter, node: &str) -> Result<(), LoggingError> {
     start_with(level, node, std::io::stdout())
 }
@@ -71,13 +73,13 @@
         .map_err(|_| LoggingError)
 }
 
-/// Waits until the lines that are queued have been written, but no longer than `patience`:
-/// a reader that does not read must not keep the process from ending.
-pub fn flush(patience: Duration) {
-    let give_up_at = Instant::now() + patience;
+/// Waits until the queued lines have been written, or until `timeout`, so that a blocked reader
+/// cannot keep the process from exiting.
+pub fn flush(timeout: Duration) {
+    let deadline = Instant::now() + timeout;
     let queued = QUEUED.load(Ordering::Acquire);
-    while WRITTEN.load(Ordering::Acquire) < queued && Instant::now() < give_up_at {
-        std::thread::sleep(FLUSH_STEP);
+    while WRITTEN.load(Ordering::Acquire) < queued && Instant::now() < deadline {
+        std::thread::sleep(FLUSH_POLL_INTERVAL);
     }
 }
 
@@ -88,7 +90,7 @@
         .then(|| serde_json::from_str(&message).ok())
         .flatten();
     let line = Line {
-        time_ms: unix_milliseconds(),
+        time_ms: unix_time_ms(),
         node,
         part: record.target(),
         decision,
@@ -120,7 +122,7 @@
         let mut text = line;
         text.push('\n');
         let mut lines = 1;
-        // Lines that wait already go out with one write.
+        // Writes all queued lines at once.
         while let Ok(next) = receiver.try_recv() {
             text.push_str(&next);
             text.push('\n');
@@ -137,7 +139,7 @@
     }
 }
 
-fn unix_milliseconds() -> u64 {
+fn unix_time_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |elapsed| elapsed.as_millis() as u64)
--- a/crates/sloetrail-serving/src/lib.rs
+++ b/crates/sloetrail-serving/src/lib.rs
@@ -1,17 +1,15 @@
-//! Serving of routes and batches.
+//! Serving node for live requests and batches.
 //!
-//! A node follows three things in the platform's table: the operator's configuration
-//! with the versions that trainers publish ([`operator`]), the directory of back ends
-//! ([`directory`]), and the leases of services. A live request ([`gateway`]) is routed
-//! by the configuration and sent to a back end that the directory lists. A batch is
-//! accepted by any node, once the table holds it; the node that holds the lease of
-//! its service ([`owner`]) sends the items to engines, has the texts scored and commits
-//! the results, which any node then reads from the table.
+//! A node follows three sources in the platform's table: the operator's configuration and the
+//! published weight versions ([`operator`]), the directory of back ends ([`directory`]) and the
+//! leases of services. A live request ([`gateway`]) is routed by the configuration and sent to a
+//! back end of the directory. Any node accepts a batch by storing it in the table. The node that
+//! holds the lease of the service ([`owner`]) sends the items to engines, has the texts scored
+//! and commits the results, which any node reads from the table.
 //!
-//! Nothing that must last is in a node: every node can be replaced at any time.
+//! Nodes keep no durable state and can be replaced at any time.
 //!
-//! What a deployment spells in its own way stands behind [`dialect::Dialect`] and
-//! [`table::Table`].
+//! [`dialect::Dialect`] and [`table::Table`] abstract from the interfaces of a deployment.
 
 pub mod back_end;
 mod back_end_connections;
--- a/crates/sloetrail-serving/src/native_dialect.rs
+++ b/crates/sloetrail-serving/src/native_dialect.rs
@@ -1,4 +1,4 @@
-//! The product's own dialect, in JSON.
+//! The native dialect: JSON messages and the default names.
 
 use crate::back_end::{BackEnd, EngineStatus, OrderAnswer, VersionChange, VersionOrder};
 use crate::dialect::{
@@ -13,11 +13,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const PUBLISHED_VERSIONS: &str = "versions/";
-const EVACUATIONS: &str = "evacuations/";
-const OLDEST_VERSION: &str = "oldest_version";
+const PUBLISHED_VERSION_PREFIX: &str = "versions/";
+const EVACUATION_PREFIX: &str = "evacuations/";
+const OLDEST_VERSION_PARAMETER: &str = "oldest_version";
 
-/// The product's own dialect.
 pub struct NativeDialect {
     headers: HeaderNames,
     paths: CallerPaths,
@@ -25,7 +24,7 @@
 }
 
 impl NativeDialect {
-    /// The same dialect with other names of headers.
+    /// Replaces the header names.
     #[must_use]
     pub fn with_headers(mut self, headers: HeaderNames) -> Self {
         self.headers = headers;
@@ -103,7 +102,7 @@
     }
 
     fn oldest_version_parameter(&self) -> Option<&str> {
-        Some(OLDEST_VERSION)
+        Some(OLDEST_VERSION_PARAMETER)
     }
 
     fn sources(&self) -> &SourceRows {
@@ -111,7 +110,7 @@
     }
 
     fn back_end(&self, id: &str, value: &[u8]) -> Result<BackEnd, DialectError> {
-        let row: BackEndRow = read(value)?;
+        let row: BackEndRow = decode(value)?;
         let back_end = BackEnd {
             id: EngineId::of_life(id, row.started_ms),
             instance: id.to_owned(),
@@ -129,14 +128,14 @@
     }
 
     fn published_version(&self, key: &str, value: &[u8]) -> Option<PublishedVersion> {
-        key.strip_prefix(PUBLISHED_VERSIONS)?;
-        let row: PublishedRow = read(value).ok()?;
+        key.strip_prefix(PUBLISHED_VERSION_PREFIX)?;
+        let row: PublishedRow = decode(value).ok()?;
         let PublishedRow { model, version } = row;
         Some(PublishedVersion { model, version })
     }
 
     fn evacuated_zone(&self, key: &str) -> Option<ZoneName> {
-        key.strip_prefix(EVACUATIONS).map(ZoneName::from)
+        key.strip_prefix(EVACUATION_PREFIX).map(ZoneName::from)
     }
 
     fn status_call(&self) -> EngineCall {
@@ -148,7 +147,7 @@
     }
 
     fn status(&self, body: &[u8]) -> Result<EngineStatus, DialectError> {
-        let answer: StatusAnswer = read(body)?;
+        let answer: StatusAnswer = decode(body)?;
         Ok(EngineStatus {
             versions: answer.versions,
             busy: answer.busy,
@@ -187,7 +186,7 @@
     }
 }
 
-fn read<'a, Message: Deserialize<'a>>(value: &'a [u8]) -> Result<Message, DialectError> {
+fn decode<'a, Message: Deserialize<'a>>(value: &'a [u8]) -> Result<Message, DialectError> {
     serde_json::from_slice(value).map_err(|error| DialectError {
         message: error.to_string(),
     })
--- a/crates/sloetrail-serving/src/node.rs
+++ b/crates/sloetrail-serving/src/node.rs
@@ -1,4 +1,4 @@
-//! A serving node: its parts put together, from start to an orderly stop.
+//! A serving node: assembly of its components, start and graceful stop.
 
 use crate::back_end_connections::BackEndConnections;
 use crate::context::NodeContext;
@@ -39,17 +39,17 @@
 use tokio_util::sync::CancellationToken;
 
 const HOUSEKEEPING_PERIOD: Duration = Duration::from_secs(5);
-/// How long a stopping node goes on taking connections: until the platform has seen
-/// that it is not ready.
-const LINGER: Duration = Duration::from_millis(2_500);
-const STOP_STEP: Duration = Duration::from_millis(50);
-/// A node exits this much before it would be killed.
+/// How long a stopping node accepts connections, so that the platform sees first that it is not
+/// ready.
+const LISTENER_DRAIN_TIME: Duration = Duration::from_millis(2_500);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time reserved at the end of the grace period for the last writes and the exit.
 const GRACE_MARGIN: Duration = Duration::from_millis(700);
 
-/// How long a stopping node tries to hand over what it counted, within the margin.
-const USAGE_HAND_OVER: Duration = Duration::from_millis(400);
+/// How long a stopping node tries to write its usage counts; within [`GRACE_MARGIN`].
+const USAGE_FLUSH_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A node that cannot start.
+/// A listener of the node could not be bound.
 #[derive(Debug, Snafu)]
 #[snafu(display("cannot listen on {address}: {source}"))]
 pub struct StartError {
@@ -57,17 +57,17 @@
     source: std::io::Error,
 }
 
-/// What a node is given beside its table, where the deployment has it.
+/// Optional services of the deployment.
 #[derive(Default)]
 pub struct ControlServices {
-    /// Takes the reports of what tenants use; without it, or without settings for it, usage
-    /// is not counted.
+    /// Receives usage reports of tenants. Without it, or without usage settings, usage is not
+    /// counted.
     pub usage_recipient: Option<Arc<dyn UsageRecipient>>,
-    /// Starts engines and takes them away; without it their number is left alone.
+    /// Starts and stops engines. Without it the node does not change their number.
     pub engine_supply: Option<Arc<dyn EngineSupply>>,
 }
 
-/// A node that runs.
+/// A running node.
 pub struct ServingNode {
     context: Arc<NodeContext>,
     callers: ConnectionTracker,
@@ -78,7 +78,6 @@
 }
 
 impl ServingNode {
-    /// Starts a node.
     pub async fn start(
         settings: ServingSettings,
         table: Arc<dyn Table>,
@@ -92,7 +91,7 @@
             version: env!("CARGO_PKG_VERSION"),
         });
         telemetry::start();
-        let (table, peers) = relayed(&settings, table).await?;
+        let (table, peers) = with_relay(&settings, table).await?;
         let callers = listen(settings.callers_address).await?;
         let ready = listen(settings.ready_address).await?;
         let callers_address = local_address(&callers, settings.callers_address);
@@ -129,43 +128,42 @@
         })
     }
 
-    /// True while callers are connected or what became of their keys is being written.
-    fn has_work_left(&self) -> bool {
+    /// True while callers are connected or claims are being written.
+    fn has_pending_work(&self) -> bool {
         let claims = self.context.claims.as_ref();
         self.callers.connections() > 0 || claims.is_some_and(|claims| claims.pending_writes() > 0)
     }
 
-    /// Where callers reach the node.
     pub fn callers_address(&self) -> SocketAddr {
         self.callers_address
     }
 
-    /// Where the platform asks whether it is ready.
+    /// The address of the readiness check.
     pub fn ready_address(&self) -> SocketAddr {
         self.ready_address
     }
 
-    /// Stops in an orderly way: not ready, leases given up, connections taken for a
-    /// little longer, requests finished.
+    /// Stops gracefully: reports not ready, releases the leases, accepts connections for a short
+    /// time and finishes the requests in flight.
     pub async fn stop(mut self) {
-        let began = BootInstant::now();
+        let started_at = BootInstant::now();
         events::emit(&Event::NodeStopping {
             requests: self.callers.requests(),
             connections: self.callers.connections(),
         });
         self.stopping.cancel();
         let grace = self.context.settings.bounds.grace;
-        let give_up_at = began + grace.saturating_sub(GRACE_MARGIN);
-        // The keepers give their leases up; without the table they run out.
-        let _ = sloetrail_clock::timeout_at(give_up_at, &mut self.owners).await;
-        sloetrail_clock::sleep_until(give_up_at.min(began + LINGER)).await;
+        let deadline = started_at + grace.saturating_sub(GRACE_MARGIN);
+        // Lease managers release their leases; if the table does not answer, the leases expire.
+        let _ = sloetrail_clock::timeout_at(deadline, &mut self.owners).await;
+        sloetrail_clock::sleep_until(deadline.min(started_at + LISTENER_DRAIN_TIME)).await;
         self.callers.stop();
-        while self.has_work_left() && BootInstant::now() < give_up_at {
-            tokio::time::sleep(STOP_STEP).await;
+        while self.has_pending_work() && BootInstant::now() < deadline {
+            tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
         if let Some(usage) = &self.context.usage {
-            // What cannot be handed over in time is lost, as when the node is killed.
-            let _ = tokio::time::timeout(USAGE_HAND_OVER, usage.hand_over()).await;
+            // Counts that cannot be written in time are lost, as when the node is killed.
+            let _ = tokio::time::timeout(USAGE_FLUSH_TIMEOUT, usage.hand_over()).await;
         }
         events::emit(&Event::NodeStopped {
             requests: self.callers.requests(),
@@ -173,7 +171,7 @@
     }
 }
 
-/// Starts to count what tenants use; the work of reporting it.
+/// Starts counting usage and returns the task that reports it.
 fn start_usage(
     context: &Arc<NodeContext>,
     recipient: Arc<dyn UsageRecipient>,
@@ -187,8 +185,9 @@
     })
 }
 
-/// The table, which other nodes reach for this one while it cannot.
-async fn relayed(
+/// Wraps the table so that peers relay calls while this node cannot reach it, if relaying is
+/// configured.
+async fn with_relay(
     settings: &ServingSettings,
     table: Arc<dyn Table>,
 ) -> Result<(Arc<dyn Table>, Option<Arc<Peers>>), StartError> {
@@ -202,7 +201,7 @@
     }
 }
 
-/// The rows of the table that every node follows.
+/// Views of the table rows that every node follows.
 struct Views {
     operator: ViewReceiver,
     directory: ViewReceiver,
@@ -213,8 +212,8 @@
     fn follow(
         table: &Arc<dyn Table>,
         dialect: &dyn Dialect,
-        paces: PollTimings,
-        held: SubsetReader,
+        timings: PollTimings,
+        subset_reader: SubsetReader,
     ) -> Self {
         let sources = dialect.sources().clone();
         let configuration = sources.configuration;
@@ -223,15 +222,20 @@
                 Arc::clone(table),
                 configuration.table,
                 configuration.partition,
-                paces.operator,
+                timings.operator,
             ),
             directory: follow_directory(
                 Arc::clone(table),
                 sources.directory_table,
-                paces.directory,
-                held,
+                timings.directory,
+                subset_reader,
+            ),
+            leases: follow(
+                Arc::clone(table),
+                rows::LEASES,
+                rows::OWNERS,
+                timings.leases,
             ),
-            leases: follow(Arc::clone(table), rows::LEASES, rows::OWNERS, paces.leases),
         }
     }
 }
@@ -244,11 +248,11 @@
     engine_supply: Option<Arc<dyn EngineSupply>>,
 ) -> NodeContext {
     let fleet = FleetSize::default();
-    let paces = PollTimings::new(&fleet, &settings.bounds);
-    let lease_poll_timing = paces.leases.clone();
+    let timings = PollTimings::new(&fleet, &settings.bounds);
+    let lease_poll_timing = timings.leases.clone();
     let subset_demand = Arc::new(SubsetDemand::default());
-    let held = SubsetReader::new(&settings.node, Arc::clone(&subset_demand));
-    let views = Views::follow(&table, &*dialect, paces, held);
+    let subset_reader = SubsetReader::new(&settings.node, Arc::clone(&subset_demand));
+    let views = Views::follow(&table, &*dialect, timings, subset_reader);
     let (directory, directory_applied) =
         watch_directory(views.directory, Arc::clone(&dialect), fleet.clone());
     let seed = digest(settings.instance.as_str().as_bytes());
@@ -266,12 +270,12 @@
         (directory.clone(), ended_incarnations.clone()),
         views.leases.clone(),
     );
-    let beliefs = [
+    let applied = [
         directory_applied.clone(),
         operator_applied.clone(),
         crashes_applied,
     ];
-    let pause_guard = PauseGuard::start(beliefs);
+    let pause_guard = PauseGuard::start(applied);
     let zone_work = ZoneWork::start(in_force.clone());
     let pools = ServicePools::new(
         &settings,
@@ -342,8 +346,8 @@
     tokio::spawn(serving);
 }
 
-/// Tells whether the node takes new connections: once it knows a configuration, the back ends
-/// and the requests that are kept from these, and until it stops.
+/// Serves the readiness check. The node is ready once it has read a configuration, the back ends
+/// and the quarantined requests, until it stops.
 fn serve_ready(context: &Arc<NodeContext>, listener: TcpListener, stopping: CancellationToken) {
     let context = Arc::clone(context);
     let settings = || ListenerSettings {
@@ -367,8 +371,7 @@
     tokio::spawn(serving);
 }
 
-/// Tells counters, gauges and histograms as text, and the requests that are kept from back ends
-/// under a path of their own.
+/// Serves metrics, and the quarantined requests under a separate path.
 fn serve_metrics(context: &Arc<NodeContext>, listener: TcpListener, callers: ConnectionTracker) {
     let context = Arc::clone(context);
     let settings = || ListenerSettings {
@@ -380,7 +383,7 @@
         let (method, path) = (request.method(), request.uri().path());
         let answer = context.quarantine.answer_operator(method, path);
         let response = answer.unwrap_or_else(|| {
-            telemetry::beliefs(&beliefs(&context, &callers));
+            telemetry::set_node_gauges(&node_gauges(&context, &callers));
             http::Response::new(full_body(telemetry::render()))
         });
         async move { response }
@@ -388,7 +391,7 @@
     tokio::spawn(serving);
 }
 
-fn beliefs(context: &NodeContext, callers: &ConnectionTracker) -> NodeGauges {
+fn node_gauges(context: &NodeContext, callers: &ConnectionTracker) -> NodeGauges {
     let configuration = context.configuration();
     let directory = Arc::clone(&context.directory.borrow());
     let age = |requested_at: Option<BootInstant>| requested_at.map(|at| at.elapsed());
@@ -402,7 +405,7 @@
         zones: context.zone_work.evacuated(),
         zones_evacuated: context.in_force.borrow().evacuations.count(),
         back_ends_cold: directory.cold_count(BootInstant::now()),
-        requests_held: context.quarantine.judgement().held().count(),
+        requests_quarantined: context.quarantine.judgement().held().count(),
         lease_view_age: context.leases.borrow().age(BootInstant::now()),
         requests: callers.requests(),
         connections: callers.connections(),
@@ -413,7 +416,7 @@
     loop {
         tokio::time::sleep(HOUSEKEEPING_PERIOD).await;
         context.connections.sweep();
-        telemetry::fold();
+        telemetry::run_upkeep();
     }
 }
 
@@ -423,6 +426,6 @@
         .context(StartSnafu { address })
 }
 
-fn local_address(listener: &TcpListener, wanted: SocketAddr) -> SocketAddr {
-    listener.local_addr().unwrap_or(wanted)
+fn local_address(listener: &TcpListener, requested: SocketAddr) -> SocketAddr {
+    listener.local_addr().unwrap_or(requested)
 }
--- a/crates/sloetrail-serving/src/rows.rs
+++ b/crates/sloetrail-serving/src/rows.rs
@@ -1,150 +1,150 @@
-//! Where the product keeps its own rows in the table.
+//! Addresses of the rows that serving nodes write to the table.
 //!
-//! What an owner writes lies in one partition, since each of its transactions holds the
-//! fence; what callers submit and end lies in another. A partition takes one transaction
-//! after the other, so neither waits for the other while the table is slow. Claims of keys
-//! lie in several partitions of their own.
+//! Rows of owners share one partition, because each transaction of an owner includes the fence.
+//! Rows written for callers are in another. The table runs the transactions of a partition one
+//! after the other, so separate partitions keep owners and callers from blocking each other.
+//! Claims of idempotency keys are spread over several partitions.
 
 use crate::table::{KeyRange, RowAddress};
 use sloetrail_types::{NodeId, ServiceName};
 use sloetrail_usage::WindowNumber;
 use std::ops::Range;
 
-/// The partition of what owners write.
+/// The partition of rows written by owners.
 pub const OWNERS: &str = "sloetrail";
-/// The partition of what callers submit and end.
+/// The partition of submitted and ended batches.
 pub const CALLERS: &str = "sloetrail_callers";
-/// Leases and their fences. Every node follows this table.
+/// Leases, fences and other rows that every node follows.
 pub const LEASES: &str = "sloetrail_leases";
-/// The order window of each lease, which only a new holder reads.
+/// The order window of each lease, read only by a new holder.
 pub const ORDER_WINDOWS: &str = "sloetrail_order_windows";
-/// The head of each batch; its presence means that the batch is accepted.
+/// The head of each batch; a batch is accepted once its head exists.
 pub const BATCHES: &str = "sloetrail_batches";
-/// The submissions, cut into rows.
+/// Submissions, split into rows.
 pub const SUBMISSIONS: &str = "sloetrail_submissions";
-/// A row for each batch that was ended.
+/// One row for each ended batch.
 pub const ENDS: &str = "sloetrail_ends";
-/// The listed results, by batch and position.
+/// Listed results, by batch and position.
 pub const RESULTS: &str = "sloetrail_results";
 
-/// Texts that are being made, by batch, item and offset.
+/// Checkpoints of unfinished texts, by batch, item and offset.
 pub const CHECKPOINTS: &str = "sloetrail_checkpoints";
 
-/// Where nodes that carry calls for one another listen, by node.
+/// Listen addresses for relayed calls, by node.
 pub const NODES: &str = "sloetrail_nodes";
 
-/// What nodes have counted of the use of tenants and no report holds yet. Its partition is
-/// the table's own: all nodes write there.
+/// Usage counts of tenants that are in no report yet. All nodes write to this partition.
 pub const USAGE_PIECES: &str = "sloetrail_usage_pieces";
 
-/// The report of usage that was committed last.
+/// The last committed usage report.
 pub const USAGE_REPORTS: &str = "sloetrail_usage_reports";
 
-/// Which keys the directory of back ends has, in outline.
+/// Index of the keys of the back end directory.
 pub const DIRECTORY_INDEX: &str = "sloetrail_directory_index";
 
-/// How many engines each service had before any were ordered.
+/// The number of engines of each service before the first order.
 pub const ENGINE_BASELINES: &str = "sloetrail_engine_floors";
 
-/// The claims of idempotency keys, with the answers of their requests.
+/// Claims of idempotency keys, with the answers to their requests.
 pub const CLAIMS: &str = "sloetrail_claims";
 
-/// When each claim may be deleted, in the order of time. It holds nothing of a request, so
-/// that whoever deletes old claims need not read them.
+/// The time at which each claim may be deleted, sorted by time. Expired claims can be found here
+/// without reading the claims.
 pub const CLAIM_TIMES: &str = "sloetrail_claim_times";
 
-/// Partitions of claims. A partition takes one transaction after the other, each some
-/// milliseconds; so many bear a few thousand keyed requests a second.
+/// Number of partitions of claims, which bounds the rate of keyed requests.
 pub const CLAIM_PARTITIONS: u8 = 16;
 
-/// What the keys of leases begin with.
-const LEASE_KEYS: &str = "lease/";
-/// What the keys of demands begin with.
-const PLACE_DEMAND_KEYS: &str = "demand/";
-/// What the keys of crashes and clearances begin with.
-const CRASH_KEYS: &str = "crash/";
-/// Digits of a window's number: keys sort as the windows follow one another.
+const LEASE_KEY_PREFIX: &str = "lease/";
+const SLOT_DEMAND_KEY_PREFIX: &str = "demand/";
+/// Prefix of the keys of crashes and clearances.
+const CRASH_KEY_PREFIX: &str = "crash/";
+/// Padding of window numbers, so that keys sort by window.
 const WINDOW_DIGITS: usize = 20;
-/// Digits of a time in milliseconds and of a digest in hexadecimal.
+/// Padding of times in milliseconds, so that keys sort by time.
 const TIME_DIGITS: usize = 20;
+/// Hexadecimal digits of a key's digest.
 const DIGEST_DIGITS: usize = 32;
-/// What the keys of counts of failed runs end with.
-const FAILED_RUNS: &str = "failed";
+const FAILED_RUNS_KEY_SUFFIX: &str = "failed";
 const POSITION_DIGITS: usize = 8;
 const PART_DIGITS: usize = 3;
 
-/// A lease, by the name of what it is for: renewed several times a second.
-pub fn lease(subject: &str) -> RowAddress {
-    RowAddress::new(LEASES, OWNERS, format!("{LEASE_KEYS}{subject}"))
+/// The lease of a resource, renewed several times a second.
+pub fn lease(resource: &str) -> RowAddress {
+    RowAddress::new(LEASES, OWNERS, format!("{LEASE_KEY_PREFIX}{resource}"))
 }
 
-/// What a lease is for, by its key; nothing if the key is of another row.
+/// Returns the resource name in the key of a lease; None for other keys.
 pub fn lease_name_of_key(key: &str) -> Option<&str> {
-    key.strip_prefix(LEASE_KEYS)
+    key.strip_prefix(LEASE_KEY_PREFIX)
 }
 
-/// The fence of a lease: written only when the holder changes.
-pub fn fence(subject: &str) -> RowAddress {
-    RowAddress::new(LEASES, OWNERS, format!("fence/{subject}"))
+/// The fence of a lease, written only when the holder changes.
+pub fn fence(resource: &str) -> RowAddress {
+    RowAddress::new(LEASES, OWNERS, format!("fence/{resource}"))
 }
 
-/// What the bound batches of a set take of the engines. It lies with the leases, which every
-/// node follows.
-pub fn place_demand(subject: &str) -> RowAddress {
-    RowAddress::new(LEASES, OWNERS, format!("{PLACE_DEMAND_KEYS}{subject}"))
+/// The slot demand of a set of bound batches. It is stored with the leases, which every node
+/// follows.
+pub fn place_demand(lease: &str) -> RowAddress {
+    RowAddress::new(LEASES, OWNERS, format!("{SLOT_DEMAND_KEY_PREFIX}{lease}"))
 }
 
-/// The lease whose batches a demand is of, by its key; nothing if the key is of another row.
+/// Returns the lease name in the key of a slot demand; None for other keys.
 pub fn subject_of_place_demand(key: &str) -> Option<&str> {
-    key.strip_prefix(PLACE_DEMAND_KEYS)
+    key.strip_prefix(SLOT_DEMAND_KEY_PREFIX)
 }
 
-/// A crash of a back end, as a life of a node has found it. It lies with the leases, which
-/// every node follows; each has a row of its own, which is written once.
+/// A crash of a back end, reported by an incarnation of a node. It is stored with the leases,
+/// which every node follows; each crash is written once to its own row.
 pub fn crash_report(instance: &NodeId, number: u64) -> RowAddress {
-    RowAddress::new(LEASES, OWNERS, format!("{CRASH_KEYS}{instance}/{number}"))
+    RowAddress::new(
+        LEASES,
+        OWNERS,
+        format!("{CRASH_KEY_PREFIX}{instance}/{number}"),
+    )
 }
 
-/// A request that a life of a node has found to be answered, or that it lets go.
+/// The clearance of a request that was suspected of a crash: it was answered, or is released.
 pub fn clearance(instance: &NodeId, number: u64) -> RowAddress {
-    let key = format!("{CRASH_KEYS}{instance}/{number}/cleared");
+    let key = format!("{CRASH_KEY_PREFIX}{instance}/{number}/cleared");
     RowAddress::new(LEASES, OWNERS, key)
 }
 
-/// The keys of all crashes and clearances.
+/// The key range of all crashes and clearances.
 pub fn quarantine_key_range() -> Range<String> {
-    // The sign after the slash: the range holds all keys that begin so.
-    CRASH_KEYS.to_owned()..CRASH_KEYS.replace('/', "0")
+    // '0' follows '/' in ASCII: the range contains all keys with the prefix.
+    CRASH_KEY_PREFIX.to_owned()..CRASH_KEY_PREFIX.replace('/', "0")
 }
 
-/// A row among the leases, by its key.
+/// A row of the lease table, by its key.
 pub fn lease_table_row(key: &str) -> RowAddress {
     RowAddress::new(LEASES, OWNERS, key)
 }
 
-/// The request of a service that is being tried, after back ends have crashed under it.
+/// The quarantined request of a service that is being tried at a back end.
 pub fn trial(service: &ServiceName) -> RowAddress {
     RowAddress::new(LEASES, OWNERS, format!("trial/{service}"))
 }
 
-/// Until when the holder of a lease may give orders.
-pub fn order_window(subject: &str) -> RowAddress {
-    RowAddress::new(ORDER_WINDOWS, OWNERS, subject)
+/// The time until which the holder of a lease may give orders.
+pub fn order_window(resource: &str) -> RowAddress {
+    RowAddress::new(ORDER_WINDOWS, OWNERS, resource)
 }
 
-/// How far wall-clock time is ahead of the table's clock, as the nodes agree on it. It
-/// lies with the leases, which every node follows.
+/// The agreed lead of the wall clock over the table's clock. It is stored with the leases, which
+/// every node follows.
 pub fn wall_clock() -> RowAddress {
     RowAddress::new(LEASES, OWNERS, "wall-clock")
 }
 
-/// A piece of what a life of a node has counted in a window.
+/// Usage counts of a window, written by an incarnation of a node.
 pub fn usage_piece(instance: &NodeId, window: WindowNumber, sequence: u64) -> RowAddress {
     let key = format!("{}/{instance}/{sequence}", window_key(window));
     RowAddress::new(USAGE_PIECES, USAGE_PIECES, key)
 }
 
-/// All pieces of a window, and those that earlier ones have left.
+/// All usage counts of a window and remaining ones of earlier windows.
 pub fn usage_pieces_until(window: WindowNumber) -> KeyRange {
     KeyRange {
         to: Some(window_key(window.next())),
@@ -156,23 +156,22 @@
     format!("{:0WINDOW_DIGITS$}", window.0)
 }
 
-/// The index of the directory. Its partition is the table's own: any node may write it.
+/// The index of the directory, which any node may write.
 pub fn directory_index() -> RowAddress {
     RowAddress::new(DIRECTORY_INDEX, DIRECTORY_INDEX, "keys")
 }
 
-/// How many engines a service had before any were ordered.
+/// The number of engines of a service before the first order.
 pub fn engine_baseline(service: &ServiceName) -> RowAddress {
     RowAddress::new(ENGINE_BASELINES, OWNERS, service.as_str())
 }
 
-/// The report of usage that was committed last.
+/// The last committed usage report.
 pub fn usage_report() -> RowAddress {
     RowAddress::new(USAGE_REPORTS, OWNERS, "last")
 }
 
-/// Where a node listens for others. Its partition is the table's own: all nodes write
-/// there when they start.
+/// The listen address of a node for relayed calls, written when the node starts.
 pub fn node(name: &str) -> RowAddress {
     RowAddress::new(NODES, NODES, name)
 }
@@ -182,38 +181,35 @@
     RowAddress::new(BATCHES, CALLERS, id)
 }
 
-/// The mark that a batch was ended.
+/// The end marker of a batch.
 pub fn end(id: &str) -> RowAddress {
     RowAddress::new(ENDS, CALLERS, id)
 }
 
-/// A part of a submission.
 pub fn submission_part(id: &str, part: usize) -> RowAddress {
     let key = format!("{id}/{part:0PART_DIGITS$}");
     RowAddress::new(SUBMISSIONS, CALLERS, key)
 }
 
-/// All parts of a submission.
 pub fn submission_parts(id: &str) -> KeyRange {
-    under(SUBMISSIONS, CALLERS, id)
+    rows_of_id(SUBMISSIONS, CALLERS, id)
 }
 
-/// A part of the result at a position.
 pub fn result_part(id: &str, position: usize, part: usize) -> RowAddress {
     let key = format!("{id}/{position:0POSITION_DIGITS$}/{part:0PART_DIGITS$}");
     RowAddress::new(RESULTS, OWNERS, key)
 }
 
-/// The results from a position on.
+/// The results at and after a position.
 pub fn results_from(id: &str, position: usize) -> KeyRange {
     KeyRange {
         from: format!("{id}/{position:0POSITION_DIGITS$}/"),
-        ..under(RESULTS, OWNERS, id)
+        ..rows_of_id(RESULTS, OWNERS, id)
     }
 }
 
-/// A piece of the text of an item: by the item's place, the generation of its text
-/// and the number of events before the piece.
+/// A checkpoint of an item's text, by the item's index in the batch, the generation of the text
+/// and the number of events before it.
 pub fn checkpoint(id: &str, index: usize, generation: u32, offset: usize) -> RowAddress {
     let key = format!(
         "{id}/{index:0POSITION_DIGITS$}/{generation:0PART_DIGITS$}/{offset:0POSITION_DIGITS$}"
@@ -221,38 +217,38 @@
     RowAddress::new(CHECKPOINTS, OWNERS, key)
 }
 
-/// How many runs of an item have failed. It lies with the pieces of texts: whoever takes the
-/// batch over reads them, and whoever deletes them deletes it.
+/// The number of failed runs of an item. It is stored with the checkpoints, so that it is loaded
+/// and deleted together with them.
 pub fn failed_runs(id: &str, index: usize) -> RowAddress {
-    let key = format!("{id}/{index:0POSITION_DIGITS$}/{FAILED_RUNS}");
+    let key = format!("{id}/{index:0POSITION_DIGITS$}/{FAILED_RUNS_KEY_SUFFIX}");
     RowAddress::new(CHECKPOINTS, OWNERS, key)
 }
 
-/// The item whose failed runs a row among the pieces counts; nothing for a piece.
+/// Returns the item index in the key of a count of failed runs; None for checkpoints.
 pub fn failed_runs_item(key: &str) -> Option<usize> {
     let (item, last) = key.rsplit_once('/')?;
     let index = item.rsplit('/').next()?;
-    (last == FAILED_RUNS).then(|| index.parse().ok())?
+    (last == FAILED_RUNS_KEY_SUFFIX).then(|| index.parse().ok())?
 }
 
-/// All pieces of the texts of a batch.
+/// All checkpoints of a batch.
 pub fn checkpoints(id: &str) -> KeyRange {
-    under(CHECKPOINTS, OWNERS, id)
+    rows_of_id(CHECKPOINTS, OWNERS, id)
 }
 
-/// The claim of an idempotency key, by the key's digest.
+/// The claim of an idempotency key, by the digest of the key.
 pub fn claim(digest: u128) -> RowAddress {
     let partition = claim_partition((digest % u128::from(CLAIM_PARTITIONS)) as u8);
     RowAddress::new(CLAIMS, partition, format!("{digest:0DIGEST_DIGITS$x}"))
 }
 
-/// The row that tells when a claim may be deleted, by the table's clock.
+/// The row with the time, by the table's clock, at which a claim may be deleted.
 pub fn claim_expiry(claim: &RowAddress, delete_at_ms: u64) -> RowAddress {
     let key = format!("{delete_at_ms:0TIME_DIGITS$}/{}", claim.key);
     RowAddress::new(CLAIM_TIMES, &claim.partition, key)
 }
 
-/// The times of the claims of a partition that may be deleted now.
+/// The expiry rows of the claims of a partition that may be deleted now.
 pub fn expired_claims_until(partition: u8, now_ms: u64) -> KeyRange {
     KeyRange {
         to: Some(format!("{now_ms:0TIME_DIGITS$}")),
@@ -260,7 +256,7 @@
     }
 }
 
-/// The claim that a row of times speaks of; nothing if it is none.
+/// Returns the claim of an expiry row; None if its key is malformed.
 pub fn claim_of_expiry(time: &RowAddress) -> Option<RowAddress> {
     let (_, key) = time.key.split_once('/')?;
     Some(RowAddress::new(CLAIMS, &time.partition, key))
@@ -270,17 +266,18 @@
     format!("{CLAIMS}/{number:x}")
 }
 
-/// The position that a result's key names.
+/// Returns the position in the key of a result.
 pub fn result_position(key: &str) -> Option<usize> {
     key.split('/').nth(1)?.parse().ok()
 }
 
-fn under(table: &str, partition: &str, id: &str) -> KeyRange {
+/// The rows whose keys begin with `id` and a slash.
+fn rows_of_id(table: &str, partition: &str, id: &str) -> KeyRange {
     KeyRange {
         table: table.to_owned(),
         partition: partition.to_owned(),
         from: format!("{id}/"),
-        // The sign after the slash: the range holds all keys that begin with "ID/".
+        // '0' follows '/' in ASCII.
         to: Some(format!("{id}0")),
         limit: None,
     }
--- a/crates/sloetrail-serving/src/settings.rs
+++ b/crates/sloetrail-serving/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a serving node: raw ones as they are read, typed ones once checked.
+//! Settings of a serving node: raw as deserialized, typed after validation.
 
 use crate::cold_budgets::ColdBudgets;
 use crate::leases::LeasedSets;
@@ -12,107 +12,95 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const LEASE_DEFAULT_MS: u64 = 1_500;
-const ORDER_GAP_DEFAULT_MS: u64 = 3_000;
-const GRACE_DEFAULT_S: f64 = 8.0;
-const BATCH_STATUS_DEFAULT_S: f64 = 120.0;
-/// A day: what public interfaces with such keys promise, and longer than a phone that was away
-/// for a night keeps a request.
-const CLAIMS_KEPT_DEFAULT_S: f64 = 86_400.0;
-/// An hour: the software of callers and back ends is seldom mended sooner, and a request
-/// under which back ends still crash then costs three of them an hour.
-const QUARANTINE_DEFAULT_S: f64 = 3_600.0;
-const CONCURRENT_LOADS_DEFAULT: usize = 2;
-const BODY_BUDGET_DEFAULT: usize = 64 * 1024 * 1024;
+const DEFAULT_LEASE_MS: u64 = 1_500;
+const DEFAULT_ORDER_GAP_MS: u64 = 3_000;
+const DEFAULT_GRACE_S: f64 = 8.0;
+const DEFAULT_BATCH_STATUS_S: f64 = 120.0;
+const DEFAULT_CLAIM_RETENTION_S: f64 = 86_400.0;
+const DEFAULT_QUARANTINE_S: f64 = 3_600.0;
+const DEFAULT_CONCURRENT_LOADS: usize = 2;
+const DEFAULT_BODY_BUDGET_BYTES: usize = 64 * 1024 * 1024;
 
-/// Settings that are refused.
+/// Invalid settings.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
-    /// They are not the JSON that is expected.
-    #[snafu(display("the settings cannot be read: {source}"))]
-    Unreadable {
-        /// What the parser said.
-        source: serde_json::Error,
-    },
-    /// A value is outside its bounds.
+    #[snafu(display("cannot parse the settings as JSON: {source}"))]
+    Unreadable { source: serde_json::Error },
     #[snafu(display("settings: {field} {message}"))]
     OutOfBounds {
-        /// The field.
         field: &'static str,
-        /// What it must be.
         message: &'static str,
     },
 }
 
-/// Settings as they are written, in JSON. Unknown fields are ignored.
+/// Settings as written in JSON. Unknown fields are ignored.
 #[derive(Clone, Debug, Deserialize)]
 pub struct RawServingSettings {
-    /// The node's name.
     pub node: String,
-    /// Its zone.
     pub zone: String,
     /// Where callers reach it.
     pub callers_address: SocketAddr,
     /// Where the platform asks whether it takes new connections.
     pub ready_address: SocketAddr,
-    /// Where other nodes reach the node, to have calls to the table carried; absent
-    /// means that it neither carries calls nor has any carried.
+    /// Where other nodes send table calls to be relayed. If absent, the node neither relays calls
+    /// nor has its own relayed.
     #[serde(default)]
     pub peer_address: Option<SocketAddr>,
-    /// Where metrics are served; absent means nowhere.
+    /// Where metrics are served; not served if absent.
     #[serde(default)]
     pub metrics_address: Option<SocketAddr>,
     /// How long a lease lasts without a renewal, in milliseconds.
     pub lease_ms: Option<u64>,
-    /// How long orders of two owners must lie apart, in milliseconds.
+    /// Minimum time between the orders of two successive owners, in milliseconds.
     pub order_gap_ms: Option<u64>,
     /// How long the node may take to stop, in seconds.
     pub grace_s: Option<f64>,
-    /// How long a batch may be read after its submission, in seconds.
+    /// How long a batch can be read after its submission, in seconds.
     pub batch_status_s: Option<f64>,
-    /// How long the claim of an idempotency key is kept after its request was due, in seconds.
+    /// How long the claim of an idempotency key is retained after the request's deadline, in
+    /// seconds.
     pub claims_kept_s: Option<f64>,
-    /// How long a crash of a back end speaks against the requests that were there, in seconds.
+    /// How long a crash of a back end counts against the requests that it was running, in seconds.
     #[serde(default)]
     pub quarantine_s: Option<f64>,
-    /// Engines that change their weights at a time.
+    /// Maximum number of engines that change their weights at a time.
     pub concurrent_loads: Option<usize>,
-    /// Bytes that the bodies of all requests may take together.
+    /// Maximum total size of all request bodies in memory.
     pub body_budget_bytes: Option<usize>,
-    /// The share of a processor core that the node may use.
+    /// The processor cores that the node may use; may be a fraction.
     #[serde(default)]
     pub processor_share: Option<f64>,
-    /// Mechanisms of decision that can be switched off.
+    /// Optional mechanisms that can be switched off.
     #[serde(default)]
     pub policies: Policies,
-    /// When the use of tenants is reported; absent means never.
+    /// Schedule of usage reports; no reports if absent.
     #[serde(default)]
     pub usage: Option<RawUsageSettings>,
-    /// The region of each zone; absent means that all zones lie in one.
+    /// The region of each zone; if absent, all zones are in one region.
     #[serde(default)]
     pub regions: Option<BTreeMap<String, String>>,
-    /// How much more than it bears a cold back end may get; absent means no more.
+    /// Tolerance for the load on cold back ends; none if absent.
     #[serde(default)]
     pub cold: Option<RawColdSettings>,
 }
 
-/// How much more than it bears a cold back end may get from all nodes together, as it is
-/// written.
+/// [`ColdTolerance`] as written in the settings.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct RawColdSettings {
-    /// A factor on the requests a second that it bears.
+    /// Factor on the sustained rate.
     pub excess: f64,
-    /// Requests a second on top.
+    /// Requests per second added to the rate.
     #[serde(default)]
     pub slack: f64,
 }
 
-/// How much more than it bears a cold back end may get from all nodes together.
+/// The rate that a cold back end may receive from all nodes together, relative to its sustained
+/// rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdTolerance {
-    /// A factor on the requests a second that it bears; one or more.
+    /// Factor on the sustained rate; at least one.
     pub excess: f64,
-    /// Requests a second on top.
+    /// Requests per second added to the rate.
     pub slack: f64,
 }
 
@@ -131,14 +119,14 @@
             raw.excess.is_finite() && raw.excess >= 1.0,
             OutOfBoundsSnafu {
                 field: "cold.excess",
-                message: "must be a factor of one or more"
+                message: "must be a finite factor of one or more"
             }
         );
         ensure!(
             raw.slack.is_finite() && raw.slack >= 0.0,
             OutOfBoundsSnafu {
                 field: "cold.slack",
-                message: "must be a number of requests"
+                message: "must be a finite number of requests per second, zero or more"
             }
         );
         Ok(Self {
@@ -147,8 +135,8 @@
         })
     }
 
-    /// What the cold back ends of a service may get; nothing if they bear as much as warm
-    /// ones. Owners of sets that the configuration names no more send there too.
+    /// Returns the budgets for the cold back ends of a service; None if the configuration does not
+    /// limit them. Owners of sets that the configuration no longer names are counted as senders.
     pub(crate) fn budgets(
         &self,
         configuration: &ServingConfiguration,
@@ -167,7 +155,7 @@
     }
 }
 
-/// When the use of tenants is reported, as it is written.
+/// [`UsageSettings`] as written in the settings.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct RawUsageSettings {
     /// The length of a window, in seconds.
@@ -176,10 +164,9 @@
     pub due_s: f64,
 }
 
-/// When the use of tenants is reported.
+/// Schedule of usage reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageSettings {
-    /// The length of a window.
     pub window: Duration,
     /// How long after the end of a window its report is due.
     pub due_after: Duration,
@@ -187,7 +174,7 @@
 
 impl UsageSettings {
     fn check(raw: RawUsageSettings) -> Result<Self, SettingsError> {
-        const LEAST: Duration = Duration::from_millis(100);
+        const MIN_DURATION: Duration = Duration::from_millis(100);
         let settings = Self {
             window: seconds(Some(raw.window_s), 0.0, "usage.window_s")?,
             due_after: seconds(Some(raw.due_s), 0.0, "usage.due_s")?,
@@ -197,25 +184,24 @@
             (settings.due_after, "usage.due_s"),
         ] {
             let message = "is too short";
-            ensure!(time >= LEAST, OutOfBoundsSnafu { field, message });
+            ensure!(time >= MIN_DURATION, OutOfBoundsSnafu { field, message });
         }
         Ok(settings)
     }
 
-    /// When windows are reported.
     pub fn schedule(&self) -> ReportSchedule {
         ReportSchedule::new(Windows::new(self.window), self.due_after)
     }
 }
 
-/// Settings that have been checked.
+/// Validated settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServingSettings {
-    /// The node's name; a replacement may bear it again.
+    /// The node's name; a replacement may reuse it.
     pub node: String,
-    /// This life of the node.
+    /// The incarnation of the node.
     pub instance: NodeId,
-    /// Its zone, and the regions of the others.
+    /// The node's zone and the regions of all zones.
     pub topology: Topology,
     /// Where callers reach it.
     pub callers_address: SocketAddr,
@@ -223,38 +209,35 @@
     pub ready_address: SocketAddr,
     /// Where other nodes reach the node.
     pub peer_address: Option<SocketAddr>,
-    /// Where metrics are served.
     pub metrics_address: Option<SocketAddr>,
-    /// The node's rank among candidates for a lease; those of a later rank wait longer.
+    /// The node's rank among candidates for a lease; a higher rank waits longer.
     pub candidate_rank: u32,
-    /// The bounds in time and number.
     pub bounds: ServingBounds,
-    /// Mechanisms of decision that can be switched off.
+    /// Optional mechanisms that can be switched off.
     pub policies: Policies,
-    /// When the use of tenants is reported; nothing means never.
+    /// Schedule of usage reports; None disables them.
     pub usage: Option<UsageSettings>,
-    /// How much more than it bears a cold back end may get.
     pub cold: ColdTolerance,
 }
 
-/// Bounds in time and number.
+/// Timeouts, retention times and capacity limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServingBounds {
     /// How long a lease lasts without a renewal.
     pub lease: Duration,
-    /// How long orders of two owners must lie apart.
+    /// Minimum time between the orders of two successive owners.
     pub order_gap: Duration,
     /// How long the node may take to stop.
     pub grace: Duration,
-    /// How long a batch may be read after its submission.
+    /// How long a batch can be read after its submission.
     pub batch_status: Duration,
-    /// How long the claim of an idempotency key is kept after its request was due.
+    /// How long the claim of an idempotency key is retained after the request's deadline.
     pub claim_retention: Duration,
-    /// How long a crash of a back end speaks against the requests that were there.
+    /// How long a crash of a back end counts against the requests that it was running.
     pub quarantine: Duration,
-    /// Engines that change their weights at a time.
+    /// Maximum number of engines that change their weights at a time.
     pub concurrent_loads: usize,
-    /// Bytes that the bodies of all requests may take together.
+    /// Maximum total size of all request bodies in memory.
     pub body_budget_bytes: usize,
 }
 
@@ -263,32 +246,36 @@
         let milliseconds =
             |value: Option<u64>, default| Duration::from_millis(value.unwrap_or(default));
         let bounds = Self {
-            lease: milliseconds(raw.lease_ms, LEASE_DEFAULT_MS),
-            order_gap: milliseconds(raw.order_gap_ms, ORDER_GAP_DEFAULT_MS),
-            grace: seconds(raw.grace_s, GRACE_DEFAULT_S, "grace_s")?,
-            batch_status: seconds(raw.batch_status_s, BATCH_STATUS_DEFAULT_S, "batch_status_s")?,
-            claim_retention: seconds(raw.claims_kept_s, CLAIMS_KEPT_DEFAULT_S, "claims_kept_s")?,
-            quarantine: seconds(raw.quarantine_s, QUARANTINE_DEFAULT_S, "quarantine_s")?,
-            concurrent_loads: raw.concurrent_loads.unwrap_or(CONCURRENT_LOADS_DEFAULT),
-            body_budget_bytes: raw.body_budget_bytes.unwrap_or(BODY_BUDGET_DEFAULT),
+            lease: milliseconds(raw.lease_ms, DEFAULT_LEASE_MS),
+            order_gap: milliseconds(raw.order_gap_ms, DEFAULT_ORDER_GAP_MS),
+            grace: seconds(raw.grace_s, DEFAULT_GRACE_S, "grace_s")?,
+            batch_status: seconds(raw.batch_status_s, DEFAULT_BATCH_STATUS_S, "batch_status_s")?,
+            claim_retention: seconds(
+                raw.claims_kept_s,
+                DEFAULT_CLAIM_RETENTION_S,
+                "claims_kept_s",
+            )?,
+            quarantine: seconds(raw.quarantine_s, DEFAULT_QUARANTINE_S, "quarantine_s")?,
+            concurrent_loads: raw.concurrent_loads.unwrap_or(DEFAULT_CONCURRENT_LOADS),
+            body_budget_bytes: raw.body_budget_bytes.unwrap_or(DEFAULT_BODY_BUDGET_BYTES),
         };
         bounds.validate()?;
         Ok(bounds)
     }
 
     fn validate(&self) -> Result<(), SettingsError> {
-        const LEASE_LEAST: Duration = Duration::from_millis(300);
-        const GRACE_LEAST: Duration = Duration::from_millis(500);
-        /// Far longer than a process stands still or a write is under way.
-        const CLAIMS_KEPT_LEAST: Duration = Duration::from_secs(60);
+        const MIN_LEASE: Duration = Duration::from_millis(300);
+        const MIN_GRACE: Duration = Duration::from_millis(500);
+        // Must exceed any pause of a process and any write in flight.
+        const MIN_CLAIM_RETENTION: Duration = Duration::from_secs(60);
         let too_short = |field| OutOfBoundsSnafu {
             field,
             message: "is too short",
         };
-        ensure!(self.lease >= LEASE_LEAST, too_short("lease_ms"));
-        ensure!(self.grace >= GRACE_LEAST, too_short("grace_s"));
+        ensure!(self.lease >= MIN_LEASE, too_short("lease_ms"));
+        ensure!(self.grace >= MIN_GRACE, too_short("grace_s"));
         ensure!(
-            self.claim_retention >= CLAIMS_KEPT_LEAST,
+            self.claim_retention >= MIN_CLAIM_RETENTION,
             too_short("claims_kept_s")
         );
         ensure!(
@@ -302,11 +289,12 @@
     }
 }
 
-/// Small machines stand back for large ones: an owner's work is slow on them.
+/// Returns the rank of the node as a candidate for leases. Nodes with little processor time rank
+/// after the others, because they run the work of an owner slowly.
 fn candidate_rank(processor_share: Option<f64>) -> u32 {
-    const LARGE_FROM: f64 = 0.25;
+    const MIN_PROCESSOR_SHARE: f64 = 0.25;
     let share = processor_share.unwrap_or(1.0);
-    u32::from(share < LARGE_FROM)
+    u32::from(share < MIN_PROCESSOR_SHARE)
 }
 
 fn topology(zone: String, regions: BTreeMap<String, String>) -> Topology {
@@ -326,25 +314,25 @@
 }
 
 impl ServingSettings {
-    /// Reads and checks the JSON form. `life` tells this life of the node from
-    /// others of the same name.
-    pub fn parse(json: &[u8], life: u64) -> Result<Self, SettingsError> {
+    /// Parses and validates settings in JSON. `incarnation` distinguishes this process from others
+    /// with the same node name.
+    pub fn parse(json: &[u8], incarnation: u64) -> Result<Self, SettingsError> {
         let raw: RawServingSettings = serde_json::from_slice(json).context(UnreadableSnafu)?;
-        Self::check(raw, life)
+        Self::check(raw, incarnation)
     }
 
-    /// Checks settings that have been read.
-    pub fn check(raw: RawServingSettings, life: u64) -> Result<Self, SettingsError> {
+    /// Validates raw settings.
+    pub fn check(raw: RawServingSettings, incarnation: u64) -> Result<Self, SettingsError> {
         ensure!(
             !raw.node.is_empty() && !raw.node.contains('/'),
             OutOfBoundsSnafu {
                 field: "node",
-                message: "must not be empty and must hold no slash"
+                message: "must not be empty and must not contain a slash"
             }
         );
         let bounds = ServingBounds::check(&raw)?;
         Ok(Self {
-            instance: NodeId::new(format!("{}/{life:016x}", raw.node)),
+            instance: NodeId::new(format!("{}/{incarnation:016x}", raw.node)),
             node: raw.node,
             topology: topology(raw.zone, raw.regions.unwrap_or_default()),
             callers_address: raw.callers_address,
@@ -361,12 +349,11 @@
         })
     }
 
-    /// The node's own zone.
     pub fn zone(&self) -> &ZoneName {
         self.topology.zone()
     }
 
-    /// True if `instance` is a life of this node.
+    /// True if `instance` is an incarnation of this node.
     pub fn is_same_node(&self, instance: &NodeId) -> bool {
         let name = instance.as_str().split('/').next();
         name == Some(self.node.as_str())
--- a/crates/sloetrail-serving/src/supervisor.rs
+++ b/crates/sloetrail-serving/src/supervisor.rs
@@ -1,4 +1,4 @@
-//! Which leases this node keeps: one for each kind of work that one node at a time does.
+//! Supervisor of lease managers: one for each task that a single node at a time may run.
 
 use crate::context::NodeContext;
 use crate::events::{self, Event};
@@ -11,25 +11,25 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-/// Runs a keeper for each lease that is needed, until the node stops; then gives every
-/// lease up. `usage` is present where usage is to be reported.
+/// Runs a lease manager for each required lease until the node stops, then waits until all of
+/// them have released their leases. `usage` is None if usage is not reported.
 pub(crate) async fn supervise(
     context: Arc<NodeContext>,
     usage: Option<UsageWork>,
     stopping: CancellationToken,
 ) {
-    let mut keepers: HashMap<LeaseResource, JoinHandle<()>> = HashMap::new();
-    let start = |subject: LeaseResource, work: Arc<dyn LeaseTask>| {
-        let keeper = LeaseManager::new(Arc::clone(&context), subject, work);
-        tokio::spawn(keeper.run(stopping.clone()))
+    let mut managers: HashMap<LeaseResource, JoinHandle<()>> = HashMap::new();
+    let start = |resource: LeaseResource, task: Arc<dyn LeaseTask>| {
+        let manager = LeaseManager::new(Arc::clone(&context), resource, task);
+        tokio::spawn(manager.run(stopping.clone()))
     };
     if let Some(usage) = usage {
-        let subject = LeaseResource::UsageReports;
-        keepers.insert(subject.clone(), start(subject, Arc::new(usage)));
+        let resource = LeaseResource::UsageReports;
+        managers.insert(resource.clone(), start(resource, Arc::new(usage)));
     }
     let mut in_force = context.in_force.clone();
     let mut leased_sets = context.leased_sets.clone();
-    let mut sets_told = 0;
+    let mut reported_sets = 0;
     loop {
         let configuration = in_force.borrow_and_update().configuration.clone();
         let configured = configuration.map(|configuration| configured_sets(&configuration));
@@ -37,15 +37,15 @@
         let leased = Arc::clone(&leased_sets.borrow_and_update());
         let own_region = context.settings.topology.own_region();
         let sets: BTreeSet<BatchSet> = configured.chain(leased.iter().cloned()).collect();
-        tell_unknown_region(&context, &sets, &mut sets_told);
+        report_unknown_region(&context, &sets, &mut reported_sets);
         for set in sets {
             if !set.regions().allows(own_region) {
                 continue;
             }
-            let subject = LeaseResource::Batches(set.clone());
-            keepers.entry(subject.clone()).or_insert_with(|| {
+            let resource = LeaseResource::Batches(set.clone());
+            managers.entry(resource.clone()).or_insert_with(|| {
                 let context = Arc::clone(&context);
-                start(subject, Arc::new(BatchOwnerTask { context, set }))
+                start(resource, Arc::new(BatchOwnerTask { context, set }))
             });
         }
         tokio::select! {
@@ -54,20 +54,20 @@
             () = stopping.cancelled() => break,
         }
     }
-    for (_, keeper) in keepers {
-        // A keeper that panicked has nothing left to give up.
-        let _ = keeper.await;
+    for (_, manager) in managers {
+        // A manager that panicked holds no lease to release.
+        let _ = manager.await;
     }
 }
 
-/// Tells that this node competes for no bound batches since its region is not known, once for
-/// each number of them.
-fn tell_unknown_region(context: &NodeContext, sets: &BTreeSet<BatchSet>, told: &mut usize) {
+/// Logs that the region of this node is unknown, so that it competes for no bound batches.
+/// Repeats the event only when the number of sets has changed.
+fn report_unknown_region(context: &NodeContext, sets: &BTreeSet<BatchSet>, reported: &mut usize) {
     let topology = &context.settings.topology;
     let bound = sets.iter().filter(|set| !set.regions().is_everywhere());
     let count = bound.count();
-    if topology.own_region().is_none() && count != *told {
-        *told = count;
+    if topology.own_region().is_none() && count != *reported {
+        *reported = count;
         events::emit(&Event::OwnRegionUnknown {
             zone: topology.zone().as_str(),
             sets: count,
@@ -75,7 +75,7 @@
     }
 }
 
-/// The batches that there may be under a configuration.
+/// Returns the sets of batches that a configuration allows.
 fn configured_sets(configuration: &ServingConfiguration) -> Vec<BatchSet> {
     let services = configuration.rollout_services().into_iter();
     let sets = services.flat_map(|service| {
--- a/crates/sloetrail-serving/src/suspension_tests.rs
+++ b/crates/sloetrail-serving/src/suspension_tests.rs
@@ -1,5 +1,5 @@
-//! What says "valid until", "heard at" or "asked at" sees the time for which the machine was
-//! suspended, though the steady clock stood still; and no module uses the bare clock.
+//! Validity periods and ages must include the time for which the machine was suspended. The
+//! monotonic clock does not, so modules must not use it directly.
 
 use crate::follow::TableView;
 use crate::leases::{LeaseResource, OrderWindow, Term};
@@ -18,7 +18,7 @@
 const SUSPENDED: Duration = Duration::from_secs(5);
 
 #[test]
-fn a_view_is_as_old_as_the_suspension() {
+fn view_age_includes_a_suspension() {
     let mut view = TableView::empty();
     view.confirmed_at = Some(BootInstant::now());
     suspend_thread(SUSPENDED);
@@ -26,16 +26,18 @@
 }
 
 #[test]
-fn the_time_of_the_table_goes_on() {
+fn table_clock_includes_a_suspension() {
     let mut clock = TableClock::default();
     clock.note(1_000, BootInstant::now());
     suspend_thread(SUSPENDED);
-    let now_ms = clock.at(BootInstant::now()).expect("it was told");
+    let now_ms = clock
+        .at(BootInstant::now())
+        .expect("the clock has a sample");
     assert!((6_000..6_500).contains(&now_ms), "{now_ms}");
 }
 
 #[test]
-fn a_lease_that_ran_out_meanwhile_is_not_confirmed() {
+fn lease_that_expired_during_suspension_is_not_confirmed() {
     let (_sender, confirmed_at) = watch::channel(BootInstant::now());
     let term = Term {
         resource: LeaseResource::UsageReports,
@@ -52,7 +54,7 @@
 }
 
 #[test]
-fn a_window_for_orders_is_over() {
+fn order_window_closes_during_a_suspension() {
     let window = OrderWindow::open_for(Duration::from_secs(2));
     assert!(window.is_open());
     suspend_thread(SUSPENDED);
@@ -60,60 +62,65 @@
 }
 
 #[test]
-fn an_evacuation_was_withdrawn_so_much_longer_ago() {
+fn time_since_evacuation_withdrawal_includes_a_suspension() {
     let zone = ZoneName::from("zone-a");
     let mut evacuations = Evacuations::default();
     evacuations.take(BTreeSet::from([zone.clone()]));
     evacuations.take(BTreeSet::new());
     suspend_thread(SUSPENDED);
-    let withdrawn_at = evacuations.withdrawn_at(&zone).expect("it was withdrawn");
+    let withdrawn_at = evacuations
+        .withdrawn_at(&zone)
+        .expect("the evacuation was withdrawn");
     assert!(withdrawn_at.elapsed() >= SUSPENDED);
 }
 
 #[tokio::test]
-async fn beliefs_from_before_a_suspension_are_not_acted_on() {
-    let (asked, taken_in) = watch::channel(Some(BootInstant::now()));
-    let guard = PauseGuard::start([taken_in]);
+async fn views_from_before_a_suspension_are_not_used() {
+    let (requested, applied) = watch::channel(Some(BootInstant::now()));
+    let guard = PauseGuard::start([applied]);
     assert!(guard.is_settled());
     suspend_thread(SUSPENDED);
-    assert!(!guard.is_settled(), "before the first send after it wakes");
-    asked.send_replace(Some(BootInstant::now() + Duration::from_millis(1)));
+    assert!(
+        !guard.is_settled(),
+        "settled without a new view after the suspension"
+    );
+    requested.send_replace(Some(BootInstant::now() + Duration::from_millis(1)));
     assert!(guard.is_settled());
 }
 
-/// Modules of the log, which decide nothing: lines a second, and when a line was written.
-const STEADY: [&str; 2] = ["events/rate_limiter.rs", "events/writer.rs"];
+/// Modules that may use the monotonic or wall clock, because they only limit or date log lines.
+const CLOCK_EXCEPTIONS: [&str; 2] = ["events/rate_limiter.rs", "events/writer.rs"];
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
+fn collect_sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
         match path.is_dir() {
-            true => sources(&path, found),
+            true => collect_sources(&path, found),
             false => found.push(path),
         }
     }
 }
 
 #[test]
-fn no_module_uses_the_bare_clock() {
+fn modules_use_only_suspension_aware_clocks() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut found = Vec::new();
-    sources(&root, &mut found);
+    collect_sources(&root, &mut found);
     assert!(found.len() > 100);
     for path in found {
         let name = path.strip_prefix(&root).expect("below").to_string_lossy();
         let is_test = name.contains("tests");
-        if is_test || STEADY.contains(&name.as_ref()) {
+        if is_test || CLOCK_EXCEPTIONS.contains(&name.as_ref()) {
             continue;
         }
         let text = fs::read_to_string(&path).expect("a source");
-        let bare = [
+        let forbidden = [
             "time::Instant",
             " Instant::now",
             "(Instant::now",
             "SystemTime::now",
         ];
-        for clock in bare {
+        for clock in forbidden {
             let is_wall_clock = clock.starts_with("SystemTime") && name == "usage/wall_clock.rs";
             assert!(is_wall_clock || !text.contains(clock), "{name}: {clock}");
         }
--- a/crates/sloetrail-serving/src/telemetry/tests.rs
+++ b/crates/sloetrail-serving/src/telemetry/tests.rs
@@ -1,9 +1,9 @@
-use super::{LABEL_VALUES_LIMIT, LabelValues, OTHER};
+use super::{LabelValues, MAX_LABEL_VALUES, OTHER};
 
 #[test]
-fn a_label_has_a_bounded_number_of_values() {
+fn label_values_over_the_limit_become_other() {
     let values = LabelValues::new();
-    for number in 0..LABEL_VALUES_LIMIT {
+    for number in 0..MAX_LABEL_VALUES {
         let name = format!("r{number}");
         assert_eq!(values.bounded(&name), name);
     }
--- a/crates/sloetrail-serving/tests/log_writer.rs
+++ b/crates/sloetrail-serving/tests/log_writer.rs
@@ -1,4 +1,5 @@
-//! The log is bounded and never blocks. One test, since a process has one log.
+//! A blocked log reader must neither block the node nor let the queue grow. One test, because a
+//! process has one logger.
 
 use log::LevelFilter;
 use serde_json::Value;
@@ -7,7 +8,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// A reader that can be stopped.
+/// A log reader that can be blocked.
 #[derive(Clone, Default)]
 struct Reader {
     state: Arc<(Mutex<ReaderState>, Condvar)>,
@@ -15,13 +16,13 @@
 
 #[derive(Default)]
 struct ReaderState {
-    is_stopped: bool,
+    is_blocked: bool,
     text: Vec<u8>,
 }
 
 impl Reader {
-    fn set_stopped(&self, is_stopped: bool) {
-        self.state.0.lock().expect("not poisoned").is_stopped = is_stopped;
+    fn set_blocked(&self, is_blocked: bool) {
+        self.state.0.lock().expect("not poisoned").is_blocked = is_blocked;
         self.state.1.notify_all();
     }
 
@@ -39,7 +40,7 @@
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let (state, changed) = &*self.state;
         let mut state = state.lock().expect("not poisoned");
-        while state.is_stopped {
+        while state.is_blocked {
             state = changed.wait(state).expect("not poisoned");
         }
         state.text.extend_from_slice(bytes);
@@ -51,7 +52,7 @@
     }
 }
 
-fn refuse(count: usize) {
+fn emit_refused(count: usize) {
     for _ in 0..count {
         events::emit(&Event::BatchRefused {
             batch: "b1",
@@ -61,7 +62,7 @@
     }
 }
 
-fn answer(count: usize) {
+fn emit_answered(count: usize) {
     for _ in 0..count {
         events::emit(&Event::RequestAnswered {
             request: "r1",
@@ -83,23 +84,23 @@
 }
 
 #[test]
-fn the_log_is_bounded_and_a_reader_that_stops_stops_nobody() {
+fn blocked_log_reader_does_not_block_emitters() {
     const EMITTED: usize = 20_000;
     let reader = Reader::default();
     events::start_with(LevelFilter::Info, "node-1", reader.clone()).expect("the first start");
-    reader.set_stopped(true);
-    let began = Instant::now();
-    refuse(EMITTED);
-    answer(EMITTED);
+    reader.set_blocked(true);
+    let started_at = Instant::now();
+    emit_refused(EMITTED);
+    emit_answered(EMITTED);
     assert!(
-        began.elapsed() < Duration::from_secs(3),
+        started_at.elapsed() < Duration::from_secs(3),
         "{:?}",
-        began.elapsed()
+        started_at.elapsed()
     );
-    reader.set_stopped(false);
-    // What was dropped is said at most once a second, with a later line.
+    reader.set_blocked(false);
+    // Dropped lines are reported at most once a second, together with a later line.
     std::thread::sleep(Duration::from_millis(1_200));
-    refuse(1);
+    emit_refused(1);
     std::thread::sleep(Duration::from_millis(300));
     let lines = reader.lines();
     assert!(
@@ -110,11 +111,11 @@
     let refused = count(&lines, "batch_refused");
     assert!(
         (1_000..3_000).contains(&refused),
-        "{refused} of {EMITTED} were kept"
+        "{refused} of {EMITTED} lines were written"
     );
     assert!(
         count(&lines, "request_answered") <= 60,
-        "ordinary lines are thinned"
+        "frequent events are not rate limited"
     );
     let dropped = lines
         .iter()
--- a/crates/sloetrail-serving/tests/operations_page.rs
+++ b/crates/sloetrail-serving/tests/operations_page.rs
@@ -1,4 +1,4 @@
-//! The page for operators names every event and every metric, and no other.
+//! The operations page must list exactly the events and metrics of the code.
 
 use std::collections::BTreeSet;
 
@@ -6,12 +6,12 @@
 const EVENTS: &str = include_str!("../src/events.rs");
 const TELEMETRY: &str = include_str!("../src/telemetry.rs");
 
-/// The first cell of each row of the table under a heading.
+/// Returns the first cell of each table row in a section.
 fn documented(heading: &str) -> BTreeSet<String> {
     let section = PAGE
         .split("\n## ")
         .find(|section| section.starts_with(heading));
-    let rows = section.expect("the section is there").lines();
+    let rows = section.expect("the section exists").lines();
     let cells = rows.filter_map(|row| row.strip_prefix("| `")?.split('`').next());
     cells.map(str::to_owned).collect()
 }
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn every_event_is_on_the_page() {
+fn page_lists_every_event() {
     let start = EVENTS.find("pub enum Event<").expect("the enum");
     let end = EVENTS[start..].find("\n}\n").expect("its end") + start;
     let variants = EVENTS[start..end].lines().filter_map(|line| {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn every_metric_is_on_the_page() {
+fn page_lists_every_metric() {
     let names = TELEMETRY
         .split('"')
         .filter(|text| text.starts_with("sloetrail_"));
--- a/crates/sloetrail-serving/tests/support/log_reader.rs
+++ b/crates/sloetrail-serving/tests/support/log_reader.rs
@@ -1,4 +1,4 @@
-//! Reading the lines that a process writes to its log.
+//! Captures the log lines of a test process.
 
 use serde_json::Value;
 use sloetrail_serving::events;
@@ -6,21 +6,19 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How long the writer of lines may take to write those that wait.
-const FLUSH_TIME: Duration = Duration::from_secs(1);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Takes in the lines of the log.
 #[derive(Clone, Default)]
 pub struct LogReader(Arc<Mutex<String>>);
 
 impl LogReader {
-    /// All lines so far.
+    /// Returns all lines so far.
     pub fn text(&self) -> String {
-        events::flush(FLUSH_TIME);
+        events::flush(FLUSH_TIMEOUT);
         self.0.lock().expect("not poisoned").clone()
     }
 
-    /// The decisions of one kind, in order.
+    /// Returns the events of one kind, in order.
     pub fn decisions(&self, event: &str) -> Vec<Value> {
         let text = self.text();
         let lines = text
--- a/crates/sloetrail-serving/tests/wrong_keys_log.rs
+++ b/crates/sloetrail-serving/tests/wrong_keys_log.rs
@@ -1,5 +1,5 @@
-//! Wrong keys by the hundred do not fill the log, and no key is in it. One test, since a
-//! process has one log.
+//! Many calls with wrong API keys must not flood the log, and no key may appear in it. One test,
+//! because a process has one logger.
 
 mod support;
 
@@ -13,17 +13,16 @@
 use support::log_reader::LogReader;
 use support::native_cluster;
 
-const RIGHT: &str = "right-secret";
+const VALID_KEY: &str = "right-secret";
 const CALLS: usize = 600;
-/// Lines of refused keys in one second, as for ordinary lines.
-const LINES_PER_SECOND: usize = 20;
+const MAX_LINES_PER_SECOND: usize = 20;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn refused_keys_are_thinned_out_in_the_log_and_no_key_is_in_it() {
+async fn refused_keys_are_rate_limited_and_never_logged() {
     let log = LogReader::default();
     events::start_with(LevelFilter::Info, "node-1", log.clone()).expect("the first start");
     let mut cluster = native_cluster();
-    cluster.tenants = Some(json!([{"name": "north", "api_keys": [RIGHT]}]));
+    cluster.tenants = Some(json!([{"name": "north", "api_keys": [VALID_KEY]}]));
     cluster.configure(usual_routes());
     cluster.add_application("zone-a").await;
     let node = cluster.add_node("node-1").await;
@@ -34,22 +33,22 @@
             .header(&names.deadline_ms, "1500")
             .header(&names.api_key, key)
     };
-    let began = Instant::now();
+    let started_at = Instant::now();
     for number in 0..CALLS {
-        let wrong = call(&format!("wrong-secret-{number}"));
-        let answer = wrong.send(cluster.nodes[0].callers).await;
+        let refused_call = call(&format!("wrong-secret-{number}"));
+        let answer = refused_call.send(cluster.nodes[0].callers).await;
         assert_eq!(answer.expect("an answer").status, 401);
     }
-    let seconds = began.elapsed().as_secs() as usize + 2;
-    let right = call(RIGHT).send(cluster.nodes[0].callers).await;
-    assert_eq!(right.expect("an answer").status, 200);
+    let seconds = started_at.elapsed().as_secs() as usize + 2;
+    let answer = call(VALID_KEY).send(cluster.nodes[0].callers).await;
+    assert_eq!(answer.expect("an answer").status, 200);
     events::flush(Duration::from_secs(5));
     let text = log.text();
     let refused = text.lines().filter(|line| line.contains("\"code\":1010"));
     let refused = refused.count();
-    assert!(refused > 0, "the first ones are told");
+    assert!(refused > 0, "no refused key was logged");
     assert!(
-        refused <= seconds * LINES_PER_SECOND,
+        refused <= seconds * MAX_LINES_PER_SECOND,
         "{refused} lines in {seconds} s"
     );
     assert!(!text.contains("secret"));
