--- a/crates/sloetrail-serving/src/events.rs
+++ b/crates/sloetrail-serving/src/events.rs
@@ -38,7 +38,7 @@
     /// The settings file was read again.
     SettingsReloaded {
         outcome: &'a str,
-        /// The error; empty if the settings were applied.
+        /// The error; empty if the settings are valid.
         detail: &'a str,
     },
     /// A connection was unresponsive; the pooled connections to its address were closed.
