--- a/crates/sloetrail-serving/src/http/connections.rs
+++ b/crates/sloetrail-serving/src/http/connections.rs
@@ -190,7 +190,7 @@
 }
 
 fn report_evicted(address: SocketAddr, sign: UnresponsiveSign, connections: usize) {
-    telemetry::connections_condemned(sign.as_str(), connections as u64);
+    telemetry::connections_evicted(sign.as_str(), connections as u64);
     events::emit(&Event::ConnectionsCondemned {
         address: &address.to_string(),
         cause: sign.as_str(),
--- a/crates/sloetrail-serving/src/quarantine/crash_registry.rs
+++ b/crates/sloetrail-serving/src/quarantine/crash_registry.rs
@@ -68,7 +68,7 @@
 
     /// Applies the table's rows. Returns false if nothing has changed.
     pub(super) fn apply_view(&mut self, view: &TableView) -> bool {
-        let rows = view.rows.range(rows::quarantine_keys());
+        let rows = view.rows.range(rows::quarantine_key_range());
         let versions = rows.clone().map(|(key, row)| (key, row.version));
         let known = self
             .stored
--- a/crates/sloetrail-serving/src/quarantine/permission.rs
+++ b/crates/sloetrail-serving/src/quarantine/permission.rs
@@ -96,7 +96,7 @@
             Permission::OnTrial => (None, TRIAL_DELAY),
             Permission::Quarantined { crashes, remaining } => (Some(crashes), remaining),
         };
-        telemetry::request_kept_back(self.service.as_str());
+        telemetry::request_quarantined(self.service.as_str());
         let digest = self.digest();
         let detail = match crashes {
             Some(crashes) => format!("{crashes} back ends have crashed under request {digest}"),
--- a/crates/sloetrail-serving/src/usage/node_usage.rs
+++ b/crates/sloetrail-serving/src/usage/node_usage.rs
@@ -59,7 +59,7 @@
         self.pending.push_back(request);
         if self.pending.len() > MAX_PENDING_REQUESTS {
             self.pending.pop_front();
-            telemetry::usage_forgotten();
+            telemetry::usage_discarded();
         }
     }
 
--- a/crates/sloetrail-serving/tests/crash_log.rs
+++ b/crates/sloetrail-serving/tests/crash_log.rs
@@ -45,7 +45,7 @@
     let first = eventually("the lost attempt is logged", lost).await;
     assert_eq!(first["outcome"], "lost");
     tokio::time::sleep(Duration::from_millis(200)).await;
-    assert_eq!(reader.told("back_end_crashed"), Vec::<Value>::new());
+    assert_eq!(reader.decisions("back_end_crashed"), Vec::<Value>::new());
 
     let crashing = async {
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -59,7 +59,7 @@
     assert_eq!((status, other), (502, 502));
     // The second request may be attributed to the crash slightly later than the first.
     let both = || async {
-        let crashes = reader.told("back_end_crashed");
+        let crashes = reader.decisions("back_end_crashed");
         let digests = crashes
             .iter()
             .filter_map(|crash| crash["digests"].as_array());
