--- a/crates/sloetrail-batch/src/batch.rs
+++ b/crates/sloetrail-batch/src/batch.rs
@@ -1,6 +1,6 @@
 //! One open batch, as the owner of its service holds it.
 
-use crate::groups::{GroupProgress, wanted_items};
+use crate::groups::{GroupProgress, required_items};
 use crate::item::{DeathCause, IMPOSSIBLE_ANSWERS_LIMIT, Item, ItemIndex, ItemState, RunFailure};
 use crate::{
     BatchHeader, BatchId, ItemId, ListedResult, ResultState, Submission, SubmittedItem, Transcript,
@@ -37,7 +37,7 @@
     /// Items of the groups that are waited for go before the others. That saves work
     /// where places are scarce; where they are not, it costs time, since which groups
     /// are whole first is known only roughly.
-    pub wanted_first: bool,
+    pub required_first: bool,
     /// Of the items that are waited for, those that are expected to be longest go
     /// first, since they decide when the step is whole; otherwise those submitted first.
     pub longest_first: bool,
@@ -46,7 +46,7 @@
 impl Default for DispatchOrder {
     fn default() -> Self {
         Self {
-            wanted_first: false,
+            required_first: false,
             longest_first: true,
         }
     }
@@ -54,7 +54,7 @@
 
 impl Batch {
     /// From now on the items go to engines in this order.
-    pub fn set_order(&mut self, order: DispatchOrder) {
+    pub fn set_dispatch_order(&mut self, order: DispatchOrder) {
         if self.order != order {
             self.order = order;
             self.sort_queue();
@@ -85,7 +85,7 @@
                 impossible_answers: 0,
             })
             .collect();
-        let wanted = wanted_items(&items, groups_wanted, carried);
+        let wanted = required_items(&items, groups_wanted, carried);
         let groups = GroupProgress::new(&items, groups_wanted, carried);
         let mut batch = Self {
             id,
@@ -120,12 +120,12 @@
 
     /// True if the item's group is among those that the trainer waits for first, or if
     /// that makes no difference.
-    pub fn is_wanted(&self, index: ItemIndex) -> bool {
-        self.wanted[index] || !self.order.wanted_first
+    pub fn is_required(&self, index: ItemIndex) -> bool {
+        self.wanted[index] || !self.order.required_first
     }
 
     /// True if the item's group is among those that the trainer waits for first.
-    pub fn is_in_wanted_group(&self, index: ItemIndex) -> bool {
+    pub fn is_in_required_group(&self, index: ItemIndex) -> bool {
         self.wanted[index]
     }
 
@@ -156,12 +156,12 @@
     }
 
     /// Takes a waiting item out of the queue until it is put back.
-    pub fn set_aside(&mut self, index: ItemIndex) {
+    pub fn remove_from_queue(&mut self, index: ItemIndex) {
         self.queue.retain(|waiting| *waiting != index);
     }
 
     /// Puts an item that was set aside back into the queue, if it still waits.
-    pub fn put_back(&mut self, index: ItemIndex) {
+    pub fn requeue(&mut self, index: ItemIndex) {
         let waits = self.items[index].state == ItemState::Waiting;
         if waits && !self.queue.contains(&index) {
             self.queue.push(index);
@@ -170,7 +170,7 @@
     }
 
     /// Keeps what there is of an item's text.
-    pub fn keep(&mut self, index: ItemIndex, transcript: Transcript) {
+    pub fn set_transcript(&mut self, index: ItemIndex, transcript: Transcript) {
         self.items[index].transcript = transcript;
     }
 
@@ -183,7 +183,7 @@
 
     /// Counts the runs of an item that failed at earlier owners: the number that its route
     /// allows is of all owners together.
-    pub fn restore_failures(&mut self, index: ItemIndex, failed_runs: usize) {
+    pub fn restore_failed_runs(&mut self, index: ItemIndex, failed_runs: usize) {
         // One less than allowed: the last failure would have listed it.
         let most = self.header.max_attempts.saturating_sub(1);
         self.items[index].failed_runs = failed_runs.min(most);
@@ -195,7 +195,7 @@
     }
 
     /// Drops an item's text: the next run begins anew.
-    pub fn begin_anew(&mut self, index: ItemIndex) {
+    pub fn restart_text(&mut self, index: ItemIndex) {
         let item = &mut self.items[index];
         item.generation += 1;
         item.transcript = Transcript::default();
@@ -203,7 +203,11 @@
 
     /// A run ended without a whole text. Returns why the item is given up, or
     /// nothing if it waits again.
-    pub fn run_failed(&mut self, index: ItemIndex, failure: RunFailure) -> Option<DeathCause> {
+    pub fn record_run_failure(
+        &mut self,
+        index: ItemIndex,
+        failure: RunFailure,
+    ) -> Option<DeathCause> {
         let item = &mut self.items[index];
         if item.state != ItemState::Running {
             return None;
@@ -230,7 +234,7 @@
     }
 
     /// A run ended with the whole text.
-    pub fn text_is_whole(&mut self, index: ItemIndex, transcript: Transcript) {
+    pub fn record_complete_text(&mut self, index: ItemIndex, transcript: Transcript) {
         let item = &mut self.items[index];
         if item.state == ItemState::Running {
             item.transcript = transcript;
@@ -255,7 +259,7 @@
     }
 
     /// The result of an item that is given up; it then waits for the commit.
-    pub fn give_up(&mut self, index: ItemIndex) -> ListedResult {
+    pub fn mark_dead(&mut self, index: ItemIndex) -> ListedResult {
         self.queue.retain(|waiting| *waiting != index);
         let groups_are_whole = self.queue_for_list(index);
         ListedResult {
@@ -269,13 +273,14 @@
     fn queue_for_list(&mut self, index: ItemIndex) -> bool {
         let item = &mut self.items[index];
         item.state = ItemState::Committing;
-        self.groups_queued.listed(index, item.transcript.len());
-        self.groups_queued.are_whole()
+        self.groups_queued
+            .record_listed(index, item.transcript.len());
+        self.groups_queued.are_complete()
     }
 
     /// An item's result is in the list. True if it completes the groups that the trainer
     /// waits for.
-    pub fn listed(&mut self, index: ItemIndex) -> bool {
+    pub fn record_listed(&mut self, index: ItemIndex) -> bool {
         self.queue.retain(|waiting| *waiting != index);
         let item = &mut self.items[index];
         if item.state == ItemState::Listed {
@@ -285,9 +290,9 @@
         item.state = ItemState::Listed;
         let transcript = std::mem::take(&mut item.transcript);
         if !was_queued {
-            self.groups_queued.listed(index, transcript.len());
+            self.groups_queued.record_listed(index, transcript.len());
         }
-        self.groups.listed(index, transcript.len())
+        self.groups.record_listed(index, transcript.len())
     }
 
     /// How far the groups of the batch have come.
@@ -305,7 +310,7 @@
     }
 
     /// True if every item is listed.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.items
             .iter()
             .all(|item| item.state == ItemState::Listed)
@@ -320,7 +325,7 @@
                 true => items[*index].expected_length as i64,
                 false => -(*index as i64),
             };
-            match wanted[*index] || !order.wanted_first {
+            match wanted[*index] || !order.required_first {
                 true => (1, rank),
                 false => (0, -rank),
             }
--- a/crates/sloetrail-batch/src/batch_outlook.rs
+++ b/crates/sloetrail-batch/src/batch_estimate.rs
@@ -26,16 +26,16 @@
 
 /// What is expected of the unfinished items of a batch.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct BatchOutlook {
+pub struct BatchEstimate {
     /// How many items should run at a time; nothing if there is no reason to hold any back.
     pub width: Option<usize>,
     /// What the longest item has left, in the unit of the hints.
     longest: f64,
 }
 
-impl BatchOutlook {
+impl BatchEstimate {
     /// True if the item, of which nothing runs, may be among those with which its batch ends.
-    pub fn is_deciding(&self, item: &Item, lengths: &LengthModel) -> bool {
+    pub fn is_critical(&self, item: &Item, lengths: &LengthModel) -> bool {
         let left = lengths.remaining_units(item.expected_length, item.transcript.len());
         left >= self.longest * DECIDING_SHARE
     }
@@ -44,12 +44,12 @@
 impl Batch {
     /// What is expected of the items at this age of the batch. `made` tells how many events a
     /// running text has.
-    pub fn outlook(
+    pub fn estimate(
         &self,
         lengths: &LengthModel,
         age: Duration,
         made: impl Fn(ItemIndex) -> usize,
-    ) -> BatchOutlook {
+    ) -> BatchEstimate {
         let (mut longest, mut all) = (0.0_f64, 0.0);
         for (index, item) in self.items().iter().enumerate() {
             let made = match item.state {
@@ -63,7 +63,7 @@
         }
         let width = MARGIN * lengths.hint_error() * all / longest;
         let holds_back = self.waiting() > 0 && age < NARROW_FOR && width.is_finite();
-        BatchOutlook {
+        BatchEstimate {
             width: holds_back.then(|| (width.ceil() as usize).max(WIDTH_LEAST)),
             longest,
         }
--- a/crates/sloetrail-batch/src/batch_outlook/tests.rs
+++ b/crates/sloetrail-batch/src/batch_estimate/tests.rs
@@ -1,12 +1,12 @@
 use crate::tests::{batch, item};
-use crate::{Batch, BatchOutlook, LengthModel};
+use crate::{Batch, BatchEstimate, LengthModel};
 use std::time::Duration;
 
 /// Hints that were always right: a hundred units an event.
 fn exact_hints() -> LengthModel {
     let mut lengths = LengthModel::default();
     for _ in 0..400 {
-        lengths.note(1_000, 10);
+        lengths.record(1_000, 10);
     }
     lengths
 }
@@ -20,8 +20,8 @@
     batch(items, 1, &[])
 }
 
-fn outlook(batch: &Batch, lengths: &LengthModel, age: Duration) -> BatchOutlook {
-    batch.outlook(lengths, age, |_| 0)
+fn outlook(batch: &Batch, lengths: &LengthModel, age: Duration) -> BatchEstimate {
+    batch.estimate(lengths, age, |_| 0)
 }
 
 /// Ten at a time would end with the long one if hints were exact.
@@ -46,8 +46,8 @@
 fn the_less_hints_are_trusted_the_more_items_run_at_a_time() {
     let mut poor = LengthModel::default();
     for _ in 0..200 {
-        poor.note(3_000, 10);
-        poor.note(300, 10);
+        poor.record(3_000, 10);
+        poor.record(300, 10);
     }
     let width = |lengths| outlook(&uneven(), &lengths, Duration::ZERO).width;
     let (poor, exact) = (width(poor), width(exact_hints()));
@@ -70,7 +70,7 @@
     let (mut batch, lengths) = (uneven(), exact_hints());
     let longest = batch.start_next().expect("one waits");
     let at = |made: usize| {
-        let outlook = batch.outlook(&lengths, Duration::ZERO, |index| {
+        let outlook = batch.estimate(&lengths, Duration::ZERO, |index| {
             if index == longest { made } else { 0 }
         });
         outlook.width.expect("some wait")
@@ -90,7 +90,7 @@
     let (batch, lengths) = (uneven(), exact_hints());
     let outlook = outlook(&batch, &lengths, Duration::ZERO);
     let deciding = batch.items().iter();
-    let deciding = deciding.filter(|item| outlook.is_deciding(item, &lengths));
+    let deciding = deciding.filter(|item| outlook.is_critical(item, &lengths));
     let ids: Vec<&str> = deciding.map(|item| item.submitted.id.as_str()).collect();
     assert_eq!(ids, ["long"]);
 }
--- a/crates/sloetrail-batch/src/checkpoint.rs
+++ b/crates/sloetrail-batch/src/checkpoint.rs
@@ -1,7 +1,7 @@
 //! Texts that are kept in the table while they are made, so that a new owner goes on
 //! after the last event that was kept.
 
-use crate::segment::{name_engines, segments_of};
+use crate::segment::{assign_engines, segments_of};
 use crate::{ItemIndex, TextSegment, Transcript, TranscriptEvent};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -52,7 +52,7 @@
     pub fn from_stored(stored: &[u8]) -> Option<Self> {
         let stored: StoredCheckpoint<Vec<TranscriptEvent>> = ciborium::from_reader(stored).ok()?;
         let mut events = stored.events;
-        name_engines(&mut events, &stored.segments);
+        assign_engines(&mut events, &stored.segments);
         Some(Self {
             index: stored.index,
             generation: stored.generation,
--- a/crates/sloetrail-batch/src/groups.rs
+++ b/crates/sloetrail-batch/src/groups.rs
@@ -56,8 +56,8 @@
 
     /// An item with so many events was listed. True if this completes the groups that
     /// are waited for.
-    pub(crate) fn listed(&mut self, index: ItemIndex, events: usize) -> bool {
-        let were_whole = self.are_whole();
+    pub(crate) fn record_listed(&mut self, index: ItemIndex, events: usize) -> bool {
+        let were_whole = self.are_complete();
         let group = &mut self.groups[self.group_of_item[index]];
         group.left = group.left.saturating_sub(1);
         group.longest = group.longest.max(events);
@@ -67,21 +67,21 @@
         self.whole += 1;
         self.carried_left -= usize::from(group.is_carried);
         self.longest = self.longest.max(group.longest);
-        !were_whole && self.are_whole()
+        !were_whole && self.are_complete()
     }
 
     /// True if all groups that the trainer waits for are whole.
-    pub fn are_whole(&self) -> bool {
+    pub fn are_complete(&self) -> bool {
         self.whole >= self.wanted && self.carried_left == 0
     }
 
     /// How many groups the trainer waits for.
-    pub fn wanted(&self) -> usize {
+    pub fn required(&self) -> usize {
         self.wanted
     }
 
     /// How many groups are whole.
-    pub fn whole(&self) -> usize {
+    pub fn completed(&self) -> usize {
         self.whole
     }
 
@@ -93,7 +93,7 @@
 
 /// Marks the items of the groups that are waited for: those carried over from an
 /// earlier batch, then those whose longest item is shortest.
-pub(crate) fn wanted_items(
+pub(crate) fn required_items(
     items: &[Item],
     groups_wanted: Option<usize>,
     carried: &BTreeSet<ItemId>,
--- a/crates/sloetrail-batch/src/length_model.rs
+++ b/crates/sloetrail-batch/src/length_model.rs
@@ -36,7 +36,7 @@
 
 impl LengthModel {
     /// A text whose length was hinted as `units` turned out to have so many events.
-    pub fn note(&mut self, units: u64, events: usize) {
+    pub fn record(&mut self, units: u64, events: usize) {
         if units == 0 || events == 0 {
             return;
         }
--- a/crates/sloetrail-batch/src/length_model/tests.rs
+++ b/crates/sloetrail-batch/src/length_model/tests.rs
@@ -5,7 +5,7 @@
     let mut model = LengthModel::default();
     for _ in 0..10 {
         for (units, events) in texts {
-            model.note(*units, *events);
+            model.record(*units, *events);
         }
     }
     model
@@ -14,12 +14,12 @@
 #[test]
 fn nothing_is_said_before_enough_texts_were_seen() {
     let mut model = LengthModel::default();
-    model.note(500, 10);
+    model.record(500, 10);
     assert_eq!(model.remaining_events(500, 0), None);
     // Texts without a hint or without events teach nothing.
     for _ in 0..20 {
-        model.note(0, 10);
-        model.note(500, 0);
+        model.record(0, 10);
+        model.record(500, 0);
     }
     assert_eq!(model.remaining_events(500, 0), None);
 }
--- a/crates/sloetrail-batch/src/lib.rs
+++ b/crates/sloetrail-batch/src/lib.rs
@@ -14,29 +14,29 @@
 //! - an item is given up as dead only for a cause that [`DeathCause`] names.
 
 mod batch;
-mod batch_outlook;
+mod batch_estimate;
 mod checkpoint;
 mod groups;
 mod header;
 mod item;
 mod length_model;
+mod reported_result;
 mod result;
 mod segment;
 mod submission;
-mod told_result;
 mod transcript;
 
 pub use batch::{Batch, DispatchOrder};
-pub use batch_outlook::BatchOutlook;
+pub use batch_estimate::BatchEstimate;
 pub use checkpoint::{Checkpoint, join_checkpoints};
 pub use groups::GroupProgress;
 pub use header::{BatchHeader, BatchId, is_usable_id};
 pub use item::{DeathCause, Item, ItemIndex, ItemState, RunFailure};
 pub use length_model::LengthModel;
+pub use reported_result::{ReaderDemand, ReportedResult, ReportedResultState, ResultPage};
 pub use result::{ListedResult, ResultState, StoredResultError};
 pub use segment::TextSegment;
 pub use submission::{ItemId, RewardCall, Submission, SubmissionError, SubmittedItem};
-pub use told_result::{ReaderDemand, ResultPage, ToldResult, ToldState};
 pub use transcript::{Transcript, TranscriptError, TranscriptEvent};
 
 #[cfg(test)]
--- a/crates/sloetrail-batch/src/told_result.rs
+++ b/crates/sloetrail-batch/src/reported_result.rs
@@ -16,7 +16,7 @@
 /// How an item ended, as a reader is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ToldState {
+pub enum ReportedResultState {
     /// The text is whole and scored.
     Succeeded,
     /// The item was given up.
@@ -27,11 +27,11 @@
 
 /// An entry of a batch's list as a reader is told it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct ToldResult {
+pub struct ReportedResult {
     /// The item.
     pub id: ItemId,
     /// How it ended.
-    pub state: ToldState,
+    pub state: ReportedResultState,
     /// The data of all events in order, separated by line feeds.
     pub text: String,
     /// Every version that made an event.
@@ -52,14 +52,14 @@
     /// The position from which to read on.
     pub next: usize,
     /// The results from the position asked for.
-    pub results: Vec<ToldResult>,
+    pub results: Vec<ReportedResult>,
 }
 
-impl ToldResult {
+impl ReportedResult {
     /// An entry as a reader with this demand is told it.
     pub fn new(listed: ListedResult, demand: ReaderDemand) -> Self {
         let state = state_for(&listed, demand);
-        let is_handed_over = state != ToldState::TooOld;
+        let is_handed_over = state != ReportedResultState::TooOld;
         let told = Self {
             id: listed.id,
             state,
@@ -83,14 +83,14 @@
     }
 }
 
-fn state_for(listed: &ListedResult, demand: ReaderDemand) -> ToldState {
+fn state_for(listed: &ListedResult, demand: ReaderDemand) -> ReportedResultState {
     let is_too_old = |oldest| listed.oldest_version() < oldest;
     match listed.state {
-        ResultState::Dead => ToldState::Dead,
+        ResultState::Dead => ReportedResultState::Dead,
         ResultState::Succeeded if demand.oldest_version.is_some_and(is_too_old) => {
-            ToldState::TooOld
+            ReportedResultState::TooOld
         }
-        ResultState::Succeeded => ToldState::Succeeded,
+        ResultState::Succeeded => ReportedResultState::Succeeded,
     }
 }
 
--- a/crates/sloetrail-batch/src/told_result/tests.rs
+++ b/crates/sloetrail-batch/src/reported_result/tests.rs
@@ -1,4 +1,6 @@
-use crate::{ListedResult, ReaderDemand, ResultState, TextSegment, ToldResult, ToldState};
+use crate::{
+    ListedResult, ReaderDemand, ReportedResult, ReportedResultState, ResultState, TextSegment,
+};
 use sloetrail_types::{EngineId, WeightVersion};
 
 fn listed(versions: &[u64]) -> ListedResult {
@@ -17,15 +19,15 @@
     }
 }
 
-fn told(listed: ListedResult, segments: bool, oldest: Option<u64>) -> ToldResult {
+fn told(listed: ListedResult, segments: bool, oldest: Option<u64>) -> ReportedResult {
     let demand = ReaderDemand {
         segments,
         oldest_version: oldest.map(WeightVersion),
     };
-    ToldResult::new(listed, demand)
+    ReportedResult::new(listed, demand)
 }
 
-fn json(told: &ToldResult) -> String {
+fn json(told: &ReportedResult) -> String {
     serde_json::to_string(told).expect("plain data")
 }
 
@@ -54,24 +56,30 @@
     let fresh = told(listed(&[2, 3]), true, Some(2));
     assert_eq!(
         (fresh.state, fresh.text.as_str()),
-        (ToldState::Succeeded, "x\ny")
+        (ReportedResultState::Succeeded, "x\ny")
     );
 }
 
 #[test]
 fn events_without_a_version_are_older_than_any() {
-    assert_eq!(told(listed(&[]), true, Some(1)).state, ToldState::TooOld);
+    assert_eq!(
+        told(listed(&[]), true, Some(1)).state,
+        ReportedResultState::TooOld
+    );
     let mut partly = listed(&[3]);
     partly.segments.push(TextSegment {
         engine: Some(EngineId::from("b")),
         version: None,
         events: 1,
     });
-    assert_eq!(told(partly, true, Some(3)).state, ToldState::TooOld);
+    assert_eq!(
+        told(partly, true, Some(3)).state,
+        ReportedResultState::TooOld
+    );
 }
 
 #[test]
 fn an_item_that_was_given_up_is_dead_whatever_the_reader_takes() {
     let dead = told(ListedResult::dead("a1".to_owned()), true, Some(9));
-    assert_eq!(dead.state, ToldState::Dead);
+    assert_eq!(dead.state, ReportedResultState::Dead);
 }
--- a/crates/sloetrail-batch/src/segment.rs
+++ b/crates/sloetrail-batch/src/segment.rs
@@ -43,7 +43,7 @@
 }
 
 /// Gives each event the engine that its segment names.
-pub(crate) fn name_engines(events: &mut [TranscriptEvent], segments: &[TextSegment]) {
+pub(crate) fn assign_engines(events: &mut [TranscriptEvent], segments: &[TextSegment]) {
     let engines = segments
         .iter()
         .flat_map(|segment| std::iter::repeat_n(&segment.engine, segment.events));
--- a/crates/sloetrail-batch/src/tests.rs
+++ b/crates/sloetrail-batch/src/tests.rs
@@ -67,7 +67,7 @@
 }
 
 const WANTED_FIRST: DispatchOrder = DispatchOrder {
-    wanted_first: true,
+    required_first: true,
     longest_first: true,
 };
 
@@ -91,8 +91,8 @@
 #[test]
 fn items_go_as_they_were_submitted_if_lengths_do_not_count() {
     let mut batch = batch(three_groups(), 2, &[]);
-    batch.set_order(DispatchOrder {
-        wanted_first: false,
+    batch.set_dispatch_order(DispatchOrder {
+        required_first: false,
         longest_first: false,
     });
     assert_eq!(order(&mut batch), ["a1", "a2", "b1", "b2", "c1", "c2"]);
@@ -101,16 +101,19 @@
 #[test]
 fn a_step_is_whole_once_as_many_groups_are_listed_as_are_waited_for() {
     let mut batch = batch(three_groups(), 2, &[]);
-    let whole: Vec<bool> = (0..6).map(|index| batch.listed(index)).collect();
+    let whole: Vec<bool> = (0..6).map(|index| batch.record_listed(index)).collect();
     assert_eq!(whole, [false, false, false, true, false, false]);
-    assert!(!batch.listed(3), "an item counts once");
-    assert_eq!((batch.groups().whole(), batch.groups().wanted()), (3, 2));
+    assert!(!batch.record_listed(3), "an item counts once");
+    assert_eq!(
+        (batch.groups().completed(), batch.groups().required()),
+        (3, 2)
+    );
 }
 
 #[test]
 fn a_step_is_whole_once_the_groups_that_were_left_over_are_whole_as_well() {
     let mut batch = batch(three_groups(), 2, &["c1"]);
-    let whole: Vec<bool> = (0..6).map(|index| batch.listed(index)).collect();
+    let whole: Vec<bool> = (0..6).map(|index| batch.record_listed(index)).collect();
     assert_eq!(whole, [false, false, false, false, false, true]);
 }
 
@@ -120,7 +123,7 @@
     let results: Vec<ListedResult> = [0, 1, 4]
         .map(|index| batch.succeed(index, None))
         .into_iter()
-        .chain([2, 3].map(|index| batch.give_up(index)))
+        .chain([2, 3].map(|index| batch.mark_dead(index)))
         .chain([batch.succeed(5, None)])
         .collect();
     let whole: Vec<bool> = results
@@ -134,16 +137,19 @@
 fn a_new_owner_counts_what_is_listed_already() {
     let mut batch = batch(three_groups(), 2, &[]);
     for index in [0, 1, 2] {
-        batch.listed(index);
+        batch.record_listed(index);
     }
     assert!(batch.succeed(3, None).groups_are_whole);
-    assert!(batch.listed(3), "the step is told when it is in the list");
+    assert!(
+        batch.record_listed(3),
+        "the step is told when it is in the list"
+    );
 }
 
 #[test]
 fn wanted_groups_go_first_and_of_these_the_longest_items() {
     let mut batch = batch(three_groups(), 2, &[]);
-    batch.set_order(WANTED_FIRST);
+    batch.set_dispatch_order(WANTED_FIRST);
     assert_eq!(order(&mut batch), ["c1", "b1", "b2", "c2", "a1", "a2"]);
 }
 
@@ -155,7 +161,7 @@
         item("c1", "c", 400),
     ];
     let mut batch = batch(items, 1, &["a1"]);
-    batch.set_order(WANTED_FIRST);
+    batch.set_dispatch_order(WANTED_FIRST);
     assert_eq!(order(&mut batch), ["a1", "b1", "c1"]);
 }
 
@@ -165,8 +171,11 @@
     let index = batch.start_next().expect("one waits");
     let mut transcript = Transcript::default();
     transcript.push(event(1, "x", 2)).expect("first");
-    batch.keep(index, transcript.clone());
-    assert_eq!(batch.run_failed(index, RunFailure::Interrupted), None);
+    batch.set_transcript(index, transcript.clone());
+    assert_eq!(
+        batch.record_run_failure(index, RunFailure::Interrupted),
+        None
+    );
     assert_eq!(batch.item(index).state, ItemState::Waiting);
     assert_eq!(batch.item(index).transcript, transcript);
     assert_eq!(batch.waiting(), 1);
@@ -177,16 +186,19 @@
     let mut batch = batch(vec![item("a1", "a", 5), item("a2", "a", 4)], 1, &[]);
     let first = batch.start_next().expect("one waits");
     for _ in 0..5 {
-        assert_eq!(batch.run_failed(first, RunFailure::Interrupted), None);
+        assert_eq!(
+            batch.record_run_failure(first, RunFailure::Interrupted),
+            None
+        );
         assert_eq!(batch.start_next(), Some(first));
     }
-    assert_eq!(batch.run_failed(first, RunFailure::Failed), None);
+    assert_eq!(batch.record_run_failure(first, RunFailure::Failed), None);
     assert_eq!(batch.start_next(), Some(first));
-    let cause = batch.run_failed(first, RunFailure::Failed);
+    let cause = batch.record_run_failure(first, RunFailure::Failed);
     assert_eq!(cause, Some(DeathCause::RunsFailed));
-    assert_eq!(batch.give_up(first), ListedResult::dead("a1".to_owned()));
+    assert_eq!(batch.mark_dead(first), ListedResult::dead("a1".to_owned()));
     let second = batch.start_next().expect("the other waits");
-    let cause = batch.run_failed(second, RunFailure::Impossible);
+    let cause = batch.record_run_failure(second, RunFailure::Impossible);
     assert_eq!(cause, Some(DeathCause::Impossible));
 }
 
@@ -199,13 +211,13 @@
     transcript.push(event(2, "y", 3)).expect("second");
     assert!(transcript.push(event(4, "z", 3)).is_err());
     assert!(transcript.is_fresh(WeightVersion(2)) && !transcript.is_fresh(WeightVersion(3)));
-    batch.text_is_whole(index, transcript);
+    batch.record_complete_text(index, transcript);
     let result = batch.succeed(index, Some("s".to_owned()));
     assert_eq!(result.text, "x\ny");
     assert_eq!(result.versions, [WeightVersion(2), WeightVersion(3)]);
     assert_eq!(batch.unfinished(), Vec::<usize>::new());
-    batch.listed(index);
-    assert!(batch.is_whole());
+    batch.record_listed(index);
+    assert!(batch.is_complete());
 }
 
 #[test]
--- a/crates/sloetrail-serving/src/gateway/read.rs
+++ b/crates/sloetrail-serving/src/gateway/read.rs
@@ -11,7 +11,9 @@
 use crate::context::NodeContext;
 use crate::events::{self, Event};
 use http::StatusCode;
-use sloetrail_batch::{ListedResult, ReaderDemand, ResultPage, Submission, ToldResult, ToldState};
+use sloetrail_batch::{
+    ListedResult, ReaderDemand, ReportedResult, ReportedResultState, ResultPage, Submission,
+};
 use sloetrail_clock::BootInstant;
 use sloetrail_result::{Problem, ResultCode};
 use sloetrail_routing::Tenant;
@@ -47,7 +49,7 @@
 /// Logs how many results were reported without text because of their weight version.
 fn log_too_old(id: &str, position: usize, page: &ResultPage, demand: ReaderDemand) {
     let reported = page.results.iter();
-    let too_old = reported.filter(|result| result.state == ToldState::TooOld);
+    let too_old = reported.filter(|result| result.state == ReportedResultState::TooOld);
     let results = too_old.count();
     if results > 0 {
         events::emit(&Event::ResultsTooOld {
@@ -141,15 +143,15 @@
 }
 
 /// Takes results up to the maximum size of a page, but at least one.
-fn fit_page(listed: Vec<ListedResult>, demand: ReaderDemand) -> Vec<ToldResult> {
+fn fit_page(listed: Vec<ListedResult>, demand: ReaderDemand) -> Vec<ReportedResult> {
     let mut bytes = 0;
-    let fits = |(index, result): &(usize, ToldResult)| {
+    let fits = |(index, result): &(usize, ReportedResult)| {
         bytes += result.text.len();
         *index == 0 || bytes <= MAX_PAGE_BYTES
     };
     let reported = listed
         .into_iter()
-        .map(|result| ToldResult::new(result, demand));
+        .map(|result| ReportedResult::new(result, demand));
     let page = reported.enumerate().take_while(fits);
     page.map(|(_, result)| result).collect()
 }
--- a/crates/sloetrail-serving/src/native_dialect.rs
+++ b/crates/sloetrail-serving/src/native_dialect.rs
@@ -113,7 +113,7 @@
     fn back_end(&self, id: &str, value: &[u8]) -> Result<BackEnd, DialectError> {
         let row: BackEndRow = read(value)?;
         let back_end = BackEnd {
-            id: EngineId::of_life(id, row.started_ms),
+            id: EngineId::of_incarnation(id, row.started_ms),
             instance: id.to_owned(),
             started_ms: row.started_ms,
             service: row.service,
--- a/crates/sloetrail-serving/src/owner/loading.rs
+++ b/crates/sloetrail-serving/src/owner/loading.rs
@@ -94,7 +94,7 @@
         listed += results.len();
         for result in results {
             if let Some(index) = batch.index_of(&result.id) {
-                batch.listed(index);
+                batch.record_listed(index);
             }
         }
     }
@@ -105,12 +105,12 @@
         }
         batch.restore(index, generation, transcript);
         if !batch.item(index).transcript.is_fresh(batch.oldest_version) {
-            batch.begin_anew(index);
+            batch.restart_text(index);
         }
     }
     for (index, failed_runs) in failed_runs {
         if is_waiting(batch, index) {
-            batch.restore_failures(index, failed_runs);
+            batch.restore_failed_runs(index, failed_runs);
         }
     }
     Ok(listed)
--- a/crates/sloetrail-serving/src/owner/service_owner.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner.rs
@@ -31,7 +31,7 @@
 use crate::leases::{BatchSet, OrderWindow, Term};
 use crate::rows;
 use sloetrail_balance::TenantShares;
-use sloetrail_batch::{Batch, BatchId, BatchOutlook, ItemId, ItemIndex, LengthModel, Transcript};
+use sloetrail_batch::{Batch, BatchEstimate, BatchId, ItemId, ItemIndex, LengthModel, Transcript};
 use sloetrail_clock::BootInstant;
 use sloetrail_types::{EngineId, ServiceName, ZoneName};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -73,7 +73,7 @@
 struct OpenBatch {
     batch: Batch,
     runs: HashMap<ItemIndex, ActiveRun>,
-    estimate: BatchOutlook,
+    estimate: BatchEstimate,
     /// Number of events in the table, for items that were loaded with a text or had a run end.
     checkpointed_events: HashMap<ItemIndex, usize>,
     cancel: CancellationToken,
@@ -93,7 +93,7 @@
             let run: Option<&ActiveRun> = runs.get(&index);
             run.map_or(0, |run| run.progress.event_count())
         };
-        self.estimate = self.batch.outlook(lengths, self.age(), made);
+        self.estimate = self.batch.estimate(lengths, self.age(), made);
     }
 
     fn items(&self) -> OpenItems {
@@ -426,7 +426,7 @@
         for open in self.batches.values_mut() {
             match plentiful.get(&open.batch.model) {
                 Some(true) => open.update_estimate(&self.lengths),
-                Some(false) | None => open.estimate = BatchOutlook::default(),
+                Some(false) | None => open.estimate = BatchEstimate::default(),
             }
         }
     }
@@ -436,7 +436,8 @@
         let policies = self.context.settings.policies;
         for open in self.batches.values_mut() {
             let is_scarce = self.usage.is_scarce(open.batch.model.as_deref());
-            open.batch.set_order(policies.dispatch_order(is_scarce));
+            open.batch
+                .set_dispatch_order(policies.dispatch_order(is_scarce));
         }
     }
 }
--- a/crates/sloetrail-serving/src/owner/service_owner/batches.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/batches.rs
@@ -7,7 +7,7 @@
 use crate::owner::committer::CommitRequest;
 use crate::owner::event::OwnerEvent;
 use crate::owner::loading::{BatchOrigin, BatchToLoad, LoadedBatch, load};
-use sloetrail_batch::{Batch, BatchHeader, BatchId, BatchOutlook, DeathCause, ItemId, ItemIndex};
+use sloetrail_batch::{Batch, BatchEstimate, BatchHeader, BatchId, DeathCause, ItemId, ItemIndex};
 use sloetrail_clock::BootInstant;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -105,7 +105,7 @@
             regions: &self.set.regions().to_string(),
         });
         let is_scarce = self.usage.is_scarce(batch.model.as_deref());
-        batch.set_order(self.context.settings.policies.dispatch_order(is_scarce));
+        batch.set_dispatch_order(self.context.settings.policies.dispatch_order(is_scarce));
         self.record_batch(&batch);
         let checkpointed_events = checkpointed_event_counts(&batch);
         self.reuse_leftover_texts(&mut batch);
@@ -118,7 +118,7 @@
         let open = OpenBatch {
             batch,
             runs: HashMap::new(),
-            estimate: BatchOutlook::default(),
+            estimate: BatchEstimate::default(),
             checkpointed_events,
             cancel: CancellationToken::new(),
             opened_at: BootInstant::now(),
@@ -157,7 +157,7 @@
         };
         open.cancel.cancel();
         for (index, run) in &open.runs {
-            open.batch.keep(*index, run.progress.transcript());
+            open.batch.set_transcript(*index, run.progress.transcript());
         }
         let unfinished = open.batch.unfinished();
         events::emit(&Event::BatchEnded {
--- a/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
@@ -65,7 +65,7 @@
             return false;
         }
         let next = open.batch.peek();
-        if next.is_none_or(|index| open.batch.is_wanted(index) != required) {
+        if next.is_none_or(|index| open.batch.is_required(index) != required) {
             return false;
         }
         let demand = ModelRequirement {
@@ -87,7 +87,7 @@
     fn preference(&self, open: &OpenBatch, index: Option<ItemIndex>) -> EnginePreference {
         let policies = self.context.settings.policies;
         let item = index.map(|index| open.batch.item(index));
-        let is_critical = item.is_some_and(|item| open.estimate.is_deciding(item, &self.lengths));
+        let is_critical = item.is_some_and(|item| open.estimate.is_critical(item, &self.lengths));
         match policies.prefer_fast_engines {
             false => EnginePreference::LeastLoaded,
             true if is_critical || !policies.bounded_batch_width => EnginePreference::Fastest,
--- a/crates/sloetrail-serving/src/owner/service_owner/quarantined_items.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/quarantined_items.rs
@@ -59,7 +59,7 @@
             }
             self.quarantined.items.insert(key, permit);
             if let Some(open) = self.batches.get_mut(id) {
-                open.batch.set_aside(index);
+                open.batch.remove_from_queue(index);
             }
         }
     }
@@ -110,7 +110,7 @@
 
     fn put_back(&mut self, (id, index): &ItemKey) {
         if let Some(open) = self.batches.get_mut(id) {
-            open.batch.put_back(*index);
+            open.batch.requeue(*index);
         }
     }
 }
--- a/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
@@ -135,7 +135,7 @@
             model: open.batch.model.as_deref(),
             oldest_version: open.batch.oldest_version,
         };
-        let required = open.batch.is_wanted(index);
+        let required = open.batch.is_required(index);
         let target = self.engines.get(&engine);
         // If the target cannot take the item, it waits in the queue for any engine.
         if target.is_some_and(|engine| engine.can_take(demand, BootInstant::now())) {
--- a/crates/sloetrail-serving/src/owner/service_owner/results.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/results.rs
@@ -41,10 +41,10 @@
         }
         if outcome == RunOutcome::Completed {
             let hint = open.batch.item(index).expected_length;
-            self.lengths.note(hint, transcript.len());
+            self.lengths.record(hint, transcript.len());
             self.engines.release_slot(move_target.as_ref());
             timeline.text_completed(BootInstant::now());
-            open.batch.text_is_whole(index, transcript);
+            open.batch.record_complete_text(index, transcript);
             self.enqueue_scoring(id, index);
             return;
         }
@@ -56,16 +56,16 @@
             events: transcript.len(),
             took_ms: took.as_millis() as u64,
         });
-        open.batch.keep(index, transcript);
+        open.batch.set_transcript(index, transcript);
         if outcome == RunOutcome::WrongVersion && open.batch.header.single_version {
-            open.batch.begin_anew(index);
+            open.batch.restart_text(index);
         }
         let failure = match outcome {
             RunOutcome::Failed => RunFailure::Failed,
             RunOutcome::Impossible => RunFailure::Impossible,
             _ => RunFailure::Interrupted,
         };
-        let death = open.batch.run_failed(index, failure);
+        let death = open.batch.record_run_failure(index, failure);
         if open.batch.item(index).transcript.is_empty() {
             open.checkpointed_events.remove(&index);
         }
@@ -124,7 +124,7 @@
         let Some(open) = self.batches.get_mut(id) else {
             return;
         };
-        let result = open.batch.give_up(index);
+        let result = open.batch.mark_dead(index);
         events::emit(&Event::ItemDead {
             item: &result.id,
             batch: id,
@@ -170,7 +170,7 @@
         let Some(open) = self.batches.get_mut(&committed.batch) else {
             return;
         };
-        if open.batch.listed(committed.index) {
+        if open.batch.record_listed(committed.index) {
             let age = open.age_at_open + open.opened_at.elapsed();
             let header = open.batch.header.clone();
             self.record_step(&header, age);
@@ -193,11 +193,11 @@
         let age = open.age_at_open + now.saturating_duration_since(open.opened_at);
         events::emit(&Event::StepWhole {
             batch: id,
-            groups: groups.wanted(),
+            groups: groups.required(),
             age_ms: milliseconds(age),
             opened_ms: milliseconds(open.age_at_open),
             item: &open.batch.item(last).submitted.id,
-            wanted: open.batch.is_wanted(last),
+            wanted: open.batch.is_required(last),
             waiting_ms: milliseconds(times.waiting),
             running_ms: milliseconds(times.running),
             between_runs_ms: milliseconds(times.between_runs),
--- a/crates/sloetrail-serving/src/owner/service_owner/scoring.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/scoring.rs
@@ -21,7 +21,7 @@
         };
         let lane = reward::lane(&self.context, call, &header.allowed_regions);
         let rank = Rank {
-            is_extra: !open.batch.is_in_wanted_group(index),
+            is_extra: !open.batch.is_in_required_group(index),
             batch: header.urgency(),
         };
         self.rewards
--- a/crates/sloetrail-serving/src/policies.rs
+++ b/crates/sloetrail-serving/src/policies.rs
@@ -62,7 +62,7 @@
     /// The order in which items of a batch are dispatched.
     pub(crate) fn dispatch_order(&self, slots_are_scarce: bool) -> DispatchOrder {
         DispatchOrder {
-            wanted_first: self.wanted_groups_first && slots_are_scarce,
+            required_first: self.wanted_groups_first && slots_are_scarce,
             longest_first: self.longest_first,
         }
     }
--- a/crates/sloetrail-types/src/names.rs
+++ b/crates/sloetrail-types/src/names.rs
@@ -84,7 +84,7 @@
 impl EngineId {
     /// The life of an engine that calls itself `instance`, which began at `started_ms` by its own
     /// wall clock. An engine that does not tell when it started has another name each time.
-    pub fn of_life(instance: &str, started_ms: Option<u64>) -> Self {
+    pub fn of_incarnation(instance: &str, started_ms: Option<u64>) -> Self {
         match started_ms {
             Some(started_ms) => Self(format!("{instance}@{started_ms}")),
             None => Self(instance.to_owned()),
