--- a/crates/sloetrail-batch/src/batch.rs
+++ b/crates/sloetrail-batch/src/batch.rs
@@ -1,7 +1,7 @@
-//! One open batch, as the owner of its service holds it.
+//! The state of an open batch at the owner of its service.
 
 use crate::groups::{GroupProgress, required_items};
-use crate::item::{DeathCause, IMPOSSIBLE_ANSWERS_LIMIT, Item, ItemIndex, ItemState, RunFailure};
+use crate::item::{DeathCause, Item, ItemIndex, ItemState, MAX_IMPOSSIBLE_ANSWERS, RunFailure};
 use crate::{
     BatchHeader, BatchId, ItemId, ListedResult, ResultState, Submission, SubmittedItem, Transcript,
 };
@@ -9,37 +9,33 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// One open batch.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// Its id.
     pub id: BatchId,
-    /// Its durable head.
     pub header: BatchHeader,
-    /// The model whose weights make the samples.
+    /// The model that generates the samples.
     pub model: Option<String>,
-    /// The oldest version that may make a token.
+    /// The oldest weight version that may generate a token.
     pub oldest_version: WeightVersion,
     items: Vec<Item>,
-    /// Waiting items, the next one last.
+    /// Waiting items in reverse dispatch order: the next item is the last element.
     queue: Vec<ItemIndex>,
-    /// For each item whether its group is among those waited for.
-    wanted: Vec<bool>,
+    /// Whether the group of each item is required.
+    required: Vec<bool>,
     groups: GroupProgress,
-    /// The same, with the results that are on their way into the list.
-    groups_queued: GroupProgress,
+    /// Group progress that also counts results whose commit is pending.
+    groups_with_pending: GroupProgress,
     order: DispatchOrder,
 }
 
-/// In which order the items of a batch go to engines.
+/// The order in which the items of a batch are dispatched to engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DispatchOrder {
-    /// Items of the groups that are waited for go before the others. That saves work
-    /// where places are scarce; where they are not, it costs time, since which groups
-    /// are whole first is known only roughly.
+    /// Dispatches items of required groups before the others. Saves work when slots are
+    /// scarce. Otherwise it costs time, because lengths are only estimated.
     pub required_first: bool,
-    /// Of the items that are waited for, those that are expected to be longest go
-    /// first, since they decide when the step is whole; otherwise those submitted first.
+    /// Dispatches the longest required items first, because they determine when the step
+    /// is complete. If false, the order of submission applies.
     pub longest_first: bool,
 }
 
@@ -53,7 +49,7 @@
 }
 
 impl Batch {
-    /// From now on the items go to engines in this order.
+    /// Sets the dispatch order and reorders the waiting items.
     pub fn set_dispatch_order(&mut self, order: DispatchOrder) {
         if self.order != order {
             self.order = order;
@@ -61,8 +57,9 @@
         }
     }
 
-    /// A batch of which nothing has run. `expected_length` gives an item's length
-    /// by the trainer's hint; `carried` are items that an earlier batch left over.
+    /// Creates a batch with all items waiting. `expected_length` returns the length of an
+    /// item in the unit of the trainer's hint. `carried` holds the items that an earlier
+    /// batch did not complete.
     pub fn new(
         id: BatchId,
         header: BatchHeader,
@@ -71,7 +68,7 @@
         carried: &BTreeSet<ItemId>,
     ) -> Self {
         let oldest_version = submission.oldest_version();
-        let groups_wanted = submission.desired_groups;
+        let required_groups = submission.desired_groups;
         let items: Vec<Item> = submission
             .items
             .into_iter()
@@ -85,8 +82,8 @@
                 impossible_answers: 0,
             })
             .collect();
-        let wanted = required_items(&items, groups_wanted, carried);
-        let groups = GroupProgress::new(&items, groups_wanted, carried);
+        let required = required_items(&items, required_groups, carried);
+        let groups = GroupProgress::new(&items, required_groups, carried);
         let mut batch = Self {
             id,
             header,
@@ -94,8 +91,8 @@
             oldest_version,
             queue: (0..items.len()).collect(),
             items,
-            wanted,
-            groups_queued: groups.clone(),
+            required,
+            groups_with_pending: groups.clone(),
             groups,
             order: DispatchOrder::default(),
         };
@@ -103,49 +100,46 @@
         batch
     }
 
-    /// The items in the order of the submission.
     pub fn items(&self) -> &[Item] {
         &self.items
     }
 
-    /// One item.
     pub fn item(&self, index: ItemIndex) -> &Item {
         &self.items[index]
     }
 
-    /// The index of an item.
     pub fn index_of(&self, id: &str) -> Option<ItemIndex> {
         self.items.iter().position(|item| item.submitted.id == id)
     }
 
-    /// True if the item's group is among those that the trainer waits for first, or if
-    /// that makes no difference.
+    /// Returns true if the item's group is required, or if the dispatch order does not
+    /// prefer required groups.
     pub fn is_required(&self, index: ItemIndex) -> bool {
-        self.wanted[index] || !self.order.required_first
+        self.required[index] || !self.order.required_first
     }
 
-    /// True if the item's group is among those that the trainer waits for first.
+    /// Returns true if the item's group is required, whatever the dispatch order.
     pub fn is_in_required_group(&self, index: ItemIndex) -> bool {
-        self.wanted[index]
+        self.required[index]
     }
 
-    /// The item to run next, if one waits.
+    /// Returns the item to dispatch next, or None if no item waits.
     pub fn peek(&self) -> Option<ItemIndex> {
         self.queue.last().copied()
     }
 
-    /// How many items wait.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Takes the next item out of the queue to run it.
+    /// Removes the next item from the queue and marks it as running.
     pub fn start_next(&mut self) -> Option<ItemIndex> {
         let index = self.peek()?;
         self.start(index).then_some(index)
     }
 
-    /// Takes an item out of the queue to run it; false if it does not wait.
+    /// Removes an item from the queue and marks it as running. Returns false if the item
+    /// is not waiting.
     pub fn start(&mut self, index: ItemIndex) -> bool {
         let is_waiting = self.items[index].state == ItemState::Waiting;
         if is_waiting {
@@ -155,54 +149,53 @@
         is_waiting
     }
 
-    /// Takes a waiting item out of the queue until it is put back.
+    /// Removes a waiting item from the queue until [`Batch::requeue`]. Its state is unchanged.
     pub fn remove_from_queue(&mut self, index: ItemIndex) {
         self.queue.retain(|waiting| *waiting != index);
     }
 
-    /// Puts an item that was set aside back into the queue, if it still waits.
+    /// Returns a removed item to the queue if it is still waiting.
     pub fn requeue(&mut self, index: ItemIndex) {
-        let waits = self.items[index].state == ItemState::Waiting;
-        if waits && !self.queue.contains(&index) {
+        let is_waiting = self.items[index].state == ItemState::Waiting;
+        if is_waiting && !self.queue.contains(&index) {
             self.queue.push(index);
             self.sort_queue();
         }
     }
 
-    /// Keeps what there is of an item's text.
+    /// Stores the partial text of an item.
     pub fn set_transcript(&mut self, index: ItemIndex, transcript: Transcript) {
         self.items[index].transcript = transcript;
     }
 
-    /// Keeps a text that the table held, with its generation.
+    /// Restores the text and generation of an item from the table.
     pub fn restore(&mut self, index: ItemIndex, generation: u32, transcript: Transcript) {
         let item = &mut self.items[index];
         item.generation = generation;
         item.transcript = transcript;
     }
 
-    /// Counts the runs of an item that failed at earlier owners: the number that its route
-    /// allows is of all owners together.
+    /// Restores the count of failed runs from earlier owners. The attempt limit of the route
+    /// applies across owners.
     pub fn restore_failed_runs(&mut self, index: ItemIndex, failed_runs: usize) {
-        // One less than allowed: the last failure would have listed it.
-        let most = self.header.max_attempts.saturating_sub(1);
-        self.items[index].failed_runs = failed_runs.min(most);
+        // An item at the limit would be listed already, so the count stays below it.
+        let max_failed_runs = self.header.max_attempts.saturating_sub(1);
+        self.items[index].failed_runs = failed_runs.min(max_failed_runs);
     }
 
-    /// How many runs of an item have failed.
     pub fn failed_runs(&self, index: ItemIndex) -> usize {
         self.items[index].failed_runs
     }
 
-    /// Drops an item's text: the next run begins anew.
+    /// Discards the text of an item, so that the next run starts from the prompt.
     pub fn restart_text(&mut self, index: ItemIndex) {
         let item = &mut self.items[index];
         item.generation += 1;
         item.transcript = Transcript::default();
     }
 
-    /// A run ended without a whole text. Returns why the item is given up, or
-    /// nothing if it waits again.
+    /// Records a run that ended without a complete text. Returns the cause if the item is
+    /// dead, or None if it is queued again or was not running.
     pub fn record_run_failure(
         &mut self,
         index: ItemIndex,
@@ -221,7 +214,7 @@
             RunFailure::Impossible => item.impossible_answers += 1,
             RunFailure::Interrupted => {}
         }
-        if item.impossible_answers >= IMPOSSIBLE_ANSWERS_LIMIT {
+        if item.impossible_answers >= MAX_IMPOSSIBLE_ANSWERS {
             return Some(DeathCause::Impossible);
         }
         if item.failed_runs >= self.header.max_attempts {
@@ -233,7 +226,7 @@
         None
     }
 
-    /// A run ended with the whole text.
+    /// Records the complete text of a running item, which is scored next.
     pub fn record_complete_text(&mut self, index: ItemIndex, transcript: Transcript) {
         let item = &mut self.items[index];
         if item.state == ItemState::Running {
@@ -242,10 +235,10 @@
         }
     }
 
-    /// The result of an item whose text is whole, with its score if it has a reward
-    /// call; the item then waits for the commit.
+    /// Returns the result of an item with a complete text, and its score if it has a reward
+    /// call. The item is then committing.
     pub fn succeed(&mut self, index: ItemIndex, score: Option<String>) -> ListedResult {
-        let groups_are_whole = self.queue_for_list(index);
+        let groups_are_whole = self.mark_committing(index);
         let item = &self.items[index];
         ListedResult {
             id: item.submitted.id.clone(),
@@ -258,74 +251,75 @@
         }
     }
 
-    /// The result of an item that is given up; it then waits for the commit.
+    /// Returns the result of an item that failed permanently. The item is then committing.
     pub fn mark_dead(&mut self, index: ItemIndex) -> ListedResult {
         self.queue.retain(|waiting| *waiting != index);
-        let groups_are_whole = self.queue_for_list(index);
+        let groups_are_whole = self.mark_committing(index);
         ListedResult {
             groups_are_whole,
             ..ListedResult::dead(self.items[index].submitted.id.clone())
         }
     }
 
-    /// An item's result gets its position. True if with those before it the groups that
-    /// the trainer waits for are whole.
-    fn queue_for_list(&mut self, index: ItemIndex) -> bool {
+    /// Marks an item as committing. Returns true if all required groups are complete once
+    /// this result and the pending ones are committed.
+    fn mark_committing(&mut self, index: ItemIndex) -> bool {
         let item = &mut self.items[index];
         item.state = ItemState::Committing;
-        self.groups_queued
+        self.groups_with_pending
             .record_listed(index, item.transcript.len());
-        self.groups_queued.are_complete()
+        self.groups_with_pending.is_complete()
     }
 
-    /// An item's result is in the list. True if it completes the groups that the trainer
-    /// waits for.
+    /// Records that an item's result is committed to the list. Returns true if it completes
+    /// the required groups.
     pub fn record_listed(&mut self, index: ItemIndex) -> bool {
         self.queue.retain(|waiting| *waiting != index);
         let item = &mut self.items[index];
         if item.state == ItemState::Listed {
             return false;
         }
-        let was_queued = item.state == ItemState::Committing;
+        let was_committing = item.state == ItemState::Committing;
         item.state = ItemState::Listed;
         let transcript = std::mem::take(&mut item.transcript);
-        if !was_queued {
-            self.groups_queued.record_listed(index, transcript.len());
+        if !was_committing {
+            self.groups_with_pending
+                .record_listed(index, transcript.len());
         }
         self.groups.record_listed(index, transcript.len())
     }
 
-    /// How far the groups of the batch have come.
     pub fn groups(&self) -> &GroupProgress {
         &self.groups
     }
 
-    /// Items that are not listed and not being committed.
+    /// Returns the items that are neither committing nor listed.
     pub fn unfinished(&self) -> Vec<ItemIndex> {
-        let open = |state: ItemState| !matches!(state, ItemState::Committing | ItemState::Listed);
+        let is_unfinished =
+            |state: ItemState| !matches!(state, ItemState::Committing | ItemState::Listed);
         let indexes = 0..self.items.len();
         indexes
-            .filter(|index| open(self.items[*index].state))
+            .filter(|index| is_unfinished(self.items[*index].state))
             .collect()
     }
 
-    /// True if every item is listed.
+    /// Returns true if every item is listed.
     pub fn is_complete(&self) -> bool {
         self.items
             .iter()
             .all(|item| item.state == ItemState::Listed)
     }
 
-    /// Wanted items first, of these the longest first, since they decide when the
-    /// step is whole; of the others the shortest first. The next one stands last.
+    /// Sorts the queue in reverse dispatch order. If the dispatch order prefers required
+    /// groups, the other items follow with the opposite ranking.
     fn sort_queue(&mut self) {
-        let (items, wanted, order) = (&self.items, &self.wanted, self.order);
+        let (items, required, order) = (&self.items, &self.required, self.order);
         self.queue.sort_by_key(|index| {
             let rank = match order.longest_first {
                 true => items[*index].expected_length as i64,
                 false => -(*index as i64),
             };
-            match wanted[*index] || !order.required_first {
+            match required[*index] || !order.required_first {
                 true => (1, rank),
                 false => (0, -rank),
             }
--- a/crates/sloetrail-batch/src/batch_estimate.rs
+++ b/crates/sloetrail-batch/src/batch_estimate.rs
@@ -1,71 +1,69 @@
-//! Which items decide when a batch is done, and how many are worth running at a time.
+//! Estimates the remaining work of a batch: its critical items and its concurrency limit.
 //!
-//! A batch is done with its longest text. Items that are started all at once are done long
-//! before that one, and each of them takes a place and a connection of its own. So no more
-//! run at a time than let the others end with the longest text; longer texts go first in any
-//! case. What is expected is wrong for many texts, so that a margin is added, and no item
-//! waits for long.
+//! A batch ends when its longest text ends. Starting all items at once does not end
+//! it earlier, but occupies a slot and a connection for each item. The number of items in
+//! flight is therefore limited so that the shorter texts end together with the longest. A
+//! margin covers errors of the hints, and the limit is lifted at a maximum batch age.
 
 use crate::{Batch, Item, ItemIndex, ItemState, LengthModel};
 use std::time::Duration;
 
-/// So many times the width that would do if all texts were as long as expected: whatever is
-/// wrong in the hints makes the last text of a batch longer, not the mean one.
-const MARGIN: f64 = 3.0;
+/// Factor on the concurrency that suffices for exact hints. Errors of the hints lengthen the
+/// last text of a batch more than the mean.
+const CONCURRENCY_MARGIN: f64 = 3.0;
 
-/// A batch older than this holds nothing back: its runs may hang, and then no text ends with
-/// which the width would grow. Ordinary texts take about half a second, the longest five.
-const NARROW_FOR: Duration = Duration::from_secs(2);
+/// Batch age from which concurrency is unlimited, so that hanging items cannot stall the batch.
+const MAX_LIMITED_AGE: Duration = Duration::from_secs(2);
 
-/// Fewer are never worth holding back: the texts of a group of eight, which share a prompt.
-const WIDTH_LEAST: usize = 8;
+const MIN_CONCURRENCY: usize = 8;
 
-/// An item that is expected to be shorter than this share of the longest one does not decide
-/// when its batch is done: hints that are off by a factor of two are rare.
-const DECIDING_SHARE: f64 = 0.5;
+/// Minimum length of a critical item as a share of the longest item.
+const MIN_CRITICAL_SHARE: f64 = 0.5;
 
-/// What is expected of the unfinished items of a batch.
+/// The estimated work of the unfinished items of a batch.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BatchEstimate {
-    /// How many items should run at a time; nothing if there is no reason to hold any back.
-    pub width: Option<usize>,
-    /// What the longest item has left, in the unit of the hints.
-    longest: f64,
+    /// The maximum number of items in flight. None if unlimited.
+    pub concurrency_limit: Option<usize>,
+    /// The remaining length of the longest item, in the unit of the hints.
+    max_remaining: f64,
 }
 
 impl BatchEstimate {
-    /// True if the item, of which nothing runs, may be among those with which its batch ends.
+    /// Returns true if the end of the batch may depend on this waiting item.
     pub fn is_critical(&self, item: &Item, lengths: &LengthModel) -> bool {
-        let left = lengths.remaining_units(item.expected_length, item.transcript.len());
-        left >= self.longest * DECIDING_SHARE
+        let remaining = lengths.remaining_units(item.expected_length, item.transcript.len());
+        remaining >= self.max_remaining * MIN_CRITICAL_SHARE
     }
 }
 
 impl Batch {
-    /// What is expected of the items at this age of the batch. `made` tells how many events a
-    /// running text has.
+    /// Estimates the remaining work at this age of the batch. `generated_events` returns the
+    /// number of events of a running item.
     pub fn estimate(
         &self,
         lengths: &LengthModel,
         age: Duration,
-        made: impl Fn(ItemIndex) -> usize,
+        generated_events: impl Fn(ItemIndex) -> usize,
     ) -> BatchEstimate {
-        let (mut longest, mut all) = (0.0_f64, 0.0);
+        let (mut max_remaining, mut total_remaining) = (0.0_f64, 0.0);
         for (index, item) in self.items().iter().enumerate() {
-            let made = match item.state {
+            let events = match item.state {
                 ItemState::Waiting => item.transcript.len(),
-                ItemState::Running => made(index),
+                ItemState::Running => generated_events(index),
                 ItemState::Rewarding | ItemState::Committing | ItemState::Listed => continue,
             };
-            let remaining = lengths.remaining_units(item.expected_length, made);
-            longest = longest.max(remaining);
-            all += remaining;
+            let remaining = lengths.remaining_units(item.expected_length, events);
+            max_remaining = max_remaining.max(remaining);
+            total_remaining += remaining;
         }
-        let width = MARGIN * lengths.hint_error() * all / longest;
-        let holds_back = self.waiting() > 0 && age < NARROW_FOR && width.is_finite();
+        let concurrency =
+            CONCURRENCY_MARGIN * lengths.hint_error() * total_remaining / max_remaining;
+        let is_limited = self.waiting() > 0 && age < MAX_LIMITED_AGE && concurrency.is_finite();
         BatchEstimate {
-            width: holds_back.then(|| (width.ceil() as usize).max(WIDTH_LEAST)),
-            longest,
+            concurrency_limit: is_limited
+                .then(|| (concurrency.ceil() as usize).max(MIN_CONCURRENCY)),
+            max_remaining,
         }
     }
 }
--- a/crates/sloetrail-batch/src/checkpoint.rs
+++ b/crates/sloetrail-batch/src/checkpoint.rs
@@ -1,5 +1,5 @@
-//! Texts that are kept in the table while they are made, so that a new owner goes on
-//! after the last event that was kept.
+//! Partial texts stored in the table, from which a new owner resumes after the last stored
+//! event.
 
 use crate::segment::{assign_engines, segments_of};
 use crate::{ItemIndex, TextSegment, Transcript, TranscriptEvent};
@@ -7,34 +7,32 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A piece of an item's text. The pieces of one generation follow each other; a text
-/// that begins anew has the next generation.
+/// A run of consecutive events of an item's text. Checkpoints of one generation are
+/// contiguous. A restarted text has the next generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Checkpoint {
-    /// The item's place in its submission.
+    /// The index of the item in its submission.
     pub index: ItemIndex,
-    /// How often the text has begun anew.
+    /// The number of restarts of the text.
     pub generation: u32,
-    /// How many events of the text lie before this piece.
+    /// The number of events of the text before this checkpoint.
     pub offset: usize,
-    /// The events.
     pub events: Vec<TranscriptEvent>,
 }
 
-/// The stored form of a piece.
+/// The stored form of a [`Checkpoint`].
 #[derive(Serialize, Deserialize)]
 struct StoredCheckpoint<Events> {
     index: ItemIndex,
     generation: u32,
     offset: usize,
     events: Events,
-    /// The engines of the events; empty where they are not told.
+    /// The engines of the events. Empty if no event names its engine.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     segments: Vec<TextSegment>,
 }
 
 impl Checkpoint {
-    /// The stored form.
     pub fn to_stored(&self) -> Bytes {
         let stored = StoredCheckpoint {
             index: self.index,
@@ -44,11 +42,11 @@
             segments: segments_of(&self.events),
         };
         let mut encoded = Vec::new();
-        ciborium::into_writer(&stored, &mut encoded).expect("memory takes every write");
+        ciborium::into_writer(&stored, &mut encoded).expect("writing to memory cannot fail");
         Bytes::from(encoded)
     }
 
-    /// Reads the stored form; nothing if it cannot be read.
+    /// Decodes the stored form. Returns None if decoding fails.
     pub fn from_stored(stored: &[u8]) -> Option<Self> {
         let stored: StoredCheckpoint<Vec<TranscriptEvent>> = ciborium::from_reader(stored).ok()?;
         let mut events = stored.events;
@@ -62,23 +60,23 @@
     }
 }
 
-/// Puts the pieces of many items together: of each item the newest generation, as far
-/// as its pieces follow each other without a gap.
+/// Joins the checkpoints of many items. Returns the newest generation of each item and its
+/// events up to the first gap.
 pub fn join_checkpoints(
-    pieces: impl IntoIterator<Item = Checkpoint>,
+    checkpoints: impl IntoIterator<Item = Checkpoint>,
 ) -> BTreeMap<ItemIndex, (u32, Transcript)> {
-    let mut sorted: Vec<Checkpoint> = pieces.into_iter().collect();
-    sorted.sort_by_key(|piece| (piece.index, piece.generation, piece.offset));
+    let mut sorted: Vec<Checkpoint> = checkpoints.into_iter().collect();
+    sorted.sort_by_key(|checkpoint| (checkpoint.index, checkpoint.generation, checkpoint.offset));
     let mut joined: BTreeMap<ItemIndex, (u32, Transcript)> = BTreeMap::new();
-    for piece in sorted {
-        let entry = joined.entry(piece.index).or_default();
-        if piece.generation > entry.0 {
-            *entry = (piece.generation, Transcript::default());
+    for checkpoint in sorted {
+        let entry = joined.entry(checkpoint.index).or_default();
+        if checkpoint.generation > entry.0 {
+            *entry = (checkpoint.generation, Transcript::default());
         }
-        if piece.offset != entry.1.len() {
+        if checkpoint.offset != entry.1.len() {
             continue;
         }
-        for event in piece.events {
+        for event in checkpoint.events {
             if entry.1.push(event).is_err() {
                 break;
             }
--- a/crates/sloetrail-batch/src/groups.rs
+++ b/crates/sloetrail-batch/src/groups.rs
@@ -1,104 +1,104 @@
-//! The groups of a batch: which of them are waited for, and which are whole.
+//! Progress of the groups of a batch, and the choice of the required groups.
 
 use crate::item::{Item, ItemIndex};
 use crate::submission::ItemId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far the groups of a batch have come. A group is whole once all its items are
-/// listed. A trainer waits for as many whole groups as it wants, and for each group that an
-/// earlier batch left over.
+/// Progress of the groups of a batch. A group is complete once all its items are listed.
+/// A trainer waits for a number of complete groups, and for each group carried over from an
+/// earlier batch.
 #[derive(Clone, Debug)]
 pub struct GroupProgress {
-    /// For each item the place of its group.
+    /// The index into `groups` of each item's group.
     group_of_item: Vec<usize>,
     groups: Vec<Group>,
-    wanted: usize,
-    whole: usize,
-    /// Groups that an earlier batch left over and that are not whole.
-    carried_left: usize,
-    /// The most events of an item of a whole group.
-    longest: usize,
+    required: usize,
+    completed: usize,
+    /// The number of incomplete groups carried over from an earlier batch.
+    carried_remaining: usize,
+    /// The maximum number of events of an item in a complete group.
+    max_events: usize,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Group {
-    /// True if an earlier batch left it over.
+    /// True if the group is carried over from an earlier batch.
     is_carried: bool,
-    /// Items that are not listed.
-    left: usize,
-    /// The most events of a listed item.
-    longest: usize,
+    /// The number of items that are not listed.
+    remaining: usize,
+    /// The maximum number of events of a listed item.
+    max_events: usize,
 }
 
 impl GroupProgress {
-    pub(crate) fn new(items: &[Item], wanted: Option<usize>, carried: &BTreeSet<ItemId>) -> Self {
-        let mut places: BTreeMap<&str, usize> = BTreeMap::new();
+    pub(crate) fn new(items: &[Item], required: Option<usize>, carried: &BTreeSet<ItemId>) -> Self {
+        let mut indexes: BTreeMap<&str, usize> = BTreeMap::new();
         let mut groups: Vec<Group> = Vec::new();
         let mut group_of_item = Vec::with_capacity(items.len());
         for item in items {
-            let place = *places.entry(group_of(item)).or_insert_with(|| {
+            let group_index = *indexes.entry(group_of(item)).or_insert_with(|| {
                 groups.push(Group::default());
                 groups.len() - 1
             });
-            groups[place].left += 1;
-            groups[place].is_carried |= carried.contains(&item.submitted.id);
-            group_of_item.push(place);
+            groups[group_index].remaining += 1;
+            groups[group_index].is_carried |= carried.contains(&item.submitted.id);
+            group_of_item.push(group_index);
         }
         Self {
-            wanted: wanted.unwrap_or(groups.len()),
+            required: required.unwrap_or(groups.len()),
             group_of_item,
-            carried_left: groups.iter().filter(|group| group.is_carried).count(),
+            carried_remaining: groups.iter().filter(|group| group.is_carried).count(),
             groups,
-            whole: 0,
-            longest: 0,
+            completed: 0,
+            max_events: 0,
         }
     }
 
-    /// An item with so many events was listed. True if this completes the groups that
-    /// are waited for.
+    /// Records a listed item with this number of events. Returns true if it completes the
+    /// required groups.
     pub(crate) fn record_listed(&mut self, index: ItemIndex, events: usize) -> bool {
-        let were_whole = self.are_complete();
+        let was_complete = self.is_complete();
         let group = &mut self.groups[self.group_of_item[index]];
-        group.left = group.left.saturating_sub(1);
-        group.longest = group.longest.max(events);
-        if group.left > 0 {
+        group.remaining = group.remaining.saturating_sub(1);
+        group.max_events = group.max_events.max(events);
+        if group.remaining > 0 {
             return false;
         }
-        self.whole += 1;
-        self.carried_left -= usize::from(group.is_carried);
-        self.longest = self.longest.max(group.longest);
-        !were_whole && self.are_complete()
+        self.completed += 1;
+        self.carried_remaining -= usize::from(group.is_carried);
+        self.max_events = self.max_events.max(group.max_events);
+        !was_complete && self.is_complete()
     }
 
-    /// True if all groups that the trainer waits for are whole.
-    pub fn are_complete(&self) -> bool {
-        self.whole >= self.wanted && self.carried_left == 0
+    /// Returns true if all required groups are complete.
+    pub fn is_complete(&self) -> bool {
+        self.completed >= self.required && self.carried_remaining == 0
     }
 
-    /// How many groups the trainer waits for.
+    /// The number of groups that the trainer waits for.
     pub fn required(&self) -> usize {
-        self.wanted
+        self.required
     }
 
-    /// How many groups are whole.
+    /// The number of complete groups.
     pub fn completed(&self) -> usize {
-        self.whole
+        self.completed
     }
 
-    /// The most events of an item of a whole group.
-    pub fn longest(&self) -> usize {
-        self.longest
+    /// The maximum number of events of an item in a complete group.
+    pub fn max_events(&self) -> usize {
+        self.max_events
     }
 }
 
-/// Marks the items of the groups that are waited for: those carried over from an
-/// earlier batch, then those whose longest item is shortest.
+/// Returns for each item whether its group is required. Groups carried over from an earlier
+/// batch are chosen first, then groups in ascending order of their longest item.
 pub(crate) fn required_items(
     items: &[Item],
-    groups_wanted: Option<usize>,
+    required_groups: Option<usize>,
     carried: &BTreeSet<ItemId>,
 ) -> Vec<bool> {
-    let Some(groups_wanted) = groups_wanted else {
+    let Some(required_groups) = required_groups else {
         return vec![true; items.len()];
     };
     let mut groups: BTreeMap<&str, (bool, u64)> = BTreeMap::new();
@@ -109,18 +109,18 @@
     }
     let mut ranked: Vec<(&str, (bool, u64))> = groups.into_iter().collect();
     ranked.sort_by_key(|(_, (is_carried, longest))| (!is_carried, *longest));
-    let wanted: BTreeSet<&str> = ranked
+    let required: BTreeSet<&str> = ranked
         .into_iter()
-        .take(groups_wanted)
+        .take(required_groups)
         .map(|(group, _)| group)
         .collect();
     items
         .iter()
-        .map(|item| wanted.contains(group_of(item)))
+        .map(|item| required.contains(group_of(item)))
         .collect()
 }
 
-/// An item without a group is a group of its own.
+/// Returns the item's group. An item without a group forms a group of its own.
 fn group_of(item: &Item) -> &str {
     let submitted = &item.submitted;
     submitted.group.as_deref().unwrap_or(&submitted.id)
--- a/crates/sloetrail-batch/src/header.rs
+++ b/crates/sloetrail-batch/src/header.rs
@@ -1,67 +1,63 @@
-//! The durable head of a batch.
+//! The stored header of a batch.
 
 use serde::{Deserialize, Serialize};
 use sloetrail_types::{AllowedRegions, ServiceName, TenantName, Urgency, WeightVersion};
 
-const ID_LENGTH_LIMIT: usize = 100;
+const MAX_ID_BYTES: usize = 100;
 
-/// A batch's id, chosen by the trainer.
+/// The id of a batch, chosen by the trainer.
 pub type BatchId = String;
 
-/// The row whose presence means that a batch is accepted.
+/// The header row of a batch. A batch is accepted if and only if this row exists.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BatchHeader {
-    /// The service that runs the items.
     pub service: ServiceName,
-    /// The `Host` of the route, which goes with each item.
+    /// The `Host` header sent with each item.
     pub host: String,
-    /// How many items there are.
     pub total: usize,
-    /// How many rows hold the submission.
+    /// The number of rows that store the submission.
     pub body_rows: usize,
-    /// When it was accepted, in milliseconds of the table's clock.
+    /// The time of acceptance on the table's clock.
     pub accepted_at_ms: u64,
-    /// Answers of failure after which an item is given up.
+    /// The number of failed runs after which an item is dead.
     pub max_attempts: usize,
-    /// How long after acceptance an item may be given up, in milliseconds.
+    /// The time after acceptance at which unfinished items expire.
     pub retention_ms: u64,
-    /// Whether a sample must come from one version of the weights.
+    /// True if all tokens of a sample must come from one weight version.
     pub single_version: bool,
-    /// How long after its acceptance the batch is wanted whole, in milliseconds; zero if
-    /// that is not known.
+    /// The target time from acceptance to a complete batch. Zero if unknown.
     #[serde(default)]
     pub run_target_ms: u64,
-    /// The rank of the route; zero is the most urgent.
+    /// The priority of the route. Zero is the most urgent.
     #[serde(default)]
     pub priority: u8,
-    /// Whose batch it is; absent where the configuration named no tenants.
+    /// The tenant of the batch. None if the configuration has no tenants.
     #[serde(default)]
     pub tenant: Option<TenantName>,
-    /// The rank of the tenant, which goes before that of the route.
+    /// The priority of the tenant, which overrides the priority of the route.
     #[serde(default)]
     pub tenant_priority: Option<u8>,
-    /// The regions in which it may be kept and run, as they were when it was accepted.
+    /// The regions in which the batch may be stored and run, fixed at acceptance.
     #[serde(default)]
     pub allowed_regions: AllowedRegions,
-    /// The model whose weights make the samples.
+    /// The model that generates the samples.
     #[serde(default)]
     pub model: Option<String>,
-    /// The oldest version that may make a token.
+    /// The oldest weight version that may generate a token.
     #[serde(default)]
     pub oldest_version: WeightVersion,
 }
 
 impl BatchHeader {
-    /// The order among batches: the rank of the tenant, where it has one, goes before
-    /// that of the route; then the batch that was accepted first.
+    /// Returns the sort key among batches: the urgency, then the time of acceptance.
     pub fn urgency(&self) -> (Urgency, u64) {
         let urgency = Urgency::new(self.tenant_priority, self.priority);
         (urgency, self.accepted_at_ms)
     }
 }
 
-/// True if an id may name a batch or an item: it becomes part of a key.
+/// Returns true if an id is valid for a batch or an item. Ids become part of row keys.
 pub fn is_usable_id(id: &str) -> bool {
     let usable = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
-    !id.is_empty() && id.len() <= ID_LENGTH_LIMIT && id.bytes().all(usable)
+    !id.is_empty() && id.len() <= MAX_ID_BYTES && id.bytes().all(usable)
 }
--- a/crates/sloetrail-batch/src/item.rs
+++ b/crates/sloetrail-batch/src/item.rs
@@ -1,68 +1,65 @@
-//! One item of an open batch, and where it stands.
+//! The state of an item of an open batch.
 
 use crate::{SubmittedItem, Transcript};
 use std::sync::Arc;
 
-/// An item's place in its submission.
+/// The index of an item in its submission.
 pub type ItemIndex = usize;
 
-/// Refusals of the kind "never possible" after which an item is given up.
-pub(crate) const IMPOSSIBLE_ANSWERS_LIMIT: usize = 1;
+/// Number of "impossible" answers after which an item is dead.
+pub(crate) const MAX_IMPOSSIBLE_ANSWERS: usize = 1;
 
-/// Where an item stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ItemState {
-    /// It waits for an engine.
+    /// Waiting for an engine.
     Waiting,
-    /// It is at an engine.
+    /// Running on an engine.
     Running,
-    /// Its text is whole and being scored.
+    /// The text is complete and is being scored.
     Rewarding,
-    /// Its result is being committed.
+    /// The result is being committed.
     Committing,
-    /// Its result is in the list.
+    /// The result is in the list of the batch.
     Listed,
 }
 
-/// Why an item is given up.
+/// Why an item failed permanently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeathCause {
-    /// An engine said that it can never be done.
+    /// An engine answered that the item can never succeed.
     Impossible,
-    /// It failed as often as its route allows.
+    /// The failed runs reached the attempt limit of the route.
     RunsFailed,
-    /// Its reward call failed as often as its route allows.
+    /// The failed reward calls reached the attempt limit of the route.
     RewardFailed,
-    /// Its time of retention is over.
+    /// The retention time of the batch elapsed.
     Expired,
 }
 
-/// How a run ended without a whole text.
+/// Why a run ended without a complete text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunFailure {
     /// The engine answered that the run failed.
     Failed,
-    /// The engine answered that the item can never be done.
+    /// The engine answered that the item can never succeed.
     Impossible,
-    /// The engine did not run it, or the answer broke off: try elsewhere.
+    /// The engine did not run the item, or the answer was cut off. Retried on another engine.
     Interrupted,
 }
 
-/// One item with what has become of it.
+/// An item of an open batch.
 #[derive(Clone, Debug)]
 pub struct Item {
-    /// What was submitted.
     pub submitted: Arc<SubmittedItem>,
-    /// Where it stands.
     pub state: ItemState,
-    /// The events kept so far.
+    /// The events received so far.
     pub transcript: Transcript,
-    /// How often the text has begun anew.
+    /// The number of restarts of the text.
     pub generation: u32,
-    /// The length that is expected, in the unit of the trainer's hint.
+    /// The expected length, in the unit of the trainer's hint.
     pub expected_length: u64,
-    /// Runs that the engine said had failed.
+    /// The number of runs that an engine reported as failed.
     pub(crate) failed_runs: usize,
-    /// Answers that it can never be done.
+    /// The number of answers that the item can never succeed.
     pub(crate) impossible_answers: usize,
 }
--- a/crates/sloetrail-batch/src/lib.rs
+++ b/crates/sloetrail-batch/src/lib.rs
@@ -1,17 +1,16 @@
 //! Batches of samples, without I/O or clocks.
 //!
-//! A [`Submission`] is what a trainer sends; [`BatchHeader`] and [`ListedResult`]
-//! are what the table keeps. The owner of a service holds one [`Batch`] for each
-//! open submission: it says which item goes to an engine next, takes in what became
-//! of it, and keeps each item's [`Transcript`] so that a broken run can go on
-//! elsewhere. Results get their positions from the owner, in the order in which
-//! they are committed.
+//! A trainer sends a [`Submission`]. The table stores a [`BatchHeader`] and a
+//! [`ListedResult`] for each item. The owner of a service holds one [`Batch`] for each
+//! open submission, which selects the next item to dispatch, records the outcome of
+//! each run, and holds each item's [`Transcript`] so that an interrupted run resumes on
+//! another engine. The owner assigns positions to results in the order of commit.
 //!
 //! Invariants:
-//! - an item moves waiting, running, rewarding, committing, listed; a failed run
-//!   brings it back to waiting, and nothing moves it out of listed;
-//! - a transcript holds consecutive events, each with the version that made it;
-//! - an item is given up as dead only for a cause that [`DeathCause`] names.
+//! - an item moves through waiting, running, rewarding, committing and listed; a failed
+//!   run returns it to waiting, and listed is final;
+//! - a transcript holds consecutive events, each with the weight version that generated it;
+//! - an item becomes dead only for a [`DeathCause`].
 
 mod batch;
 mod batch_estimate;
--- a/crates/sloetrail-batch/src/reported_result.rs
+++ b/crates/sloetrail-batch/src/reported_result.rs
@@ -1,66 +1,64 @@
-//! What readers of a batch are told of its results.
+//! Results of a batch as reported to its readers.
 
 use crate::{ItemId, ListedResult, ResultState, TextSegment};
 use serde::Serialize;
 use sloetrail_types::WeightVersion;
 
-/// What a reader takes, by its dialect and its own word.
+/// The requirements of a reader, from its dialect and its request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReaderDemand {
-    /// True if it is told the segments of texts.
+    /// True if results include the segments of their texts.
     pub segments: bool,
-    /// The oldest version whose events it takes now; absent if it takes any.
+    /// The oldest weight version that the reader accepts. None if it accepts all.
     pub oldest_version: Option<WeightVersion>,
 }
 
-/// How an item ended, as a reader is told.
+/// The final state of an item as reported to a reader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReportedResultState {
-    /// The text is whole and scored.
+    /// The text is complete, and scored if the item has a reward call.
     Succeeded,
-    /// The item was given up.
+    /// The item failed permanently.
     Dead,
-    /// The text is older than the reader takes now and is not handed over.
+    /// The text is older than the reader accepts and is omitted.
     TooOld,
 }
 
-/// An entry of a batch's list as a reader is told it.
+/// An entry in the list of a batch as reported to a reader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ReportedResult {
-    /// The item.
     pub id: ItemId,
-    /// How it ended.
     pub state: ReportedResultState,
     /// The data of all events in order, separated by line feeds.
     pub text: String,
-    /// Every version that made an event.
+    /// The distinct weight versions that generated events, ascending.
     pub versions: Vec<WeightVersion>,
     /// The signature of the reward call's answer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub score: Option<String>,
-    /// Which engine made which events, in order.
+    /// The engine and weight version of each run of events, in order.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub segments: Vec<TextSegment>,
 }
 
-/// The answer to a reader of a batch.
+/// A page of results of a batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ResultPage {
-    /// How many items the batch has.
+    /// The number of items in the batch.
     pub total: usize,
-    /// The position from which to read on.
+    /// The position at which the next page starts.
     pub next: usize,
-    /// The results from the position asked for.
+    /// The results from the requested position.
     pub results: Vec<ReportedResult>,
 }
 
 impl ReportedResult {
-    /// An entry as a reader with this demand is told it.
+    /// Converts a listed result for a reader with this demand.
     pub fn new(listed: ListedResult, demand: ReaderDemand) -> Self {
         let state = state_for(&listed, demand);
-        let is_handed_over = state != ReportedResultState::TooOld;
-        let told = Self {
+        let includes_text = state != ReportedResultState::TooOld;
+        let reported = Self {
             id: listed.id,
             state,
             text: String::new(),
@@ -68,8 +66,8 @@
             score: None,
             segments: Vec::new(),
         };
-        if !is_handed_over {
-            return told;
+        if !includes_text {
+            return reported;
         }
         Self {
             text: listed.text,
@@ -78,7 +76,7 @@
                 true => listed.segments,
                 false => Vec::new(),
             },
-            ..told
+            ..reported
         }
     }
 }
--- a/crates/sloetrail-batch/src/reported_result/tests.rs
+++ b/crates/sloetrail-batch/src/reported_result/tests.rs
@@ -19,7 +19,7 @@
     }
 }
 
-fn told(listed: ListedResult, segments: bool, oldest: Option<u64>) -> ReportedResult {
+fn reported(listed: ListedResult, segments: bool, oldest: Option<u64>) -> ReportedResult {
     let demand = ReaderDemand {
         segments,
         oldest_version: oldest.map(WeightVersion),
@@ -27,33 +27,33 @@
     ReportedResult::new(listed, demand)
 }
 
-fn json(told: &ReportedResult) -> String {
-    serde_json::to_string(told).expect("plain data")
+fn json(reported: &ReportedResult) -> String {
+    serde_json::to_string(reported).expect("serializable result")
 }
 
 #[test]
-fn a_reader_whose_dialect_tells_no_segments_reads_none() {
+fn segments_are_omitted_if_the_dialect_has_none() {
     let expected = r#"{"id":"a1","state":"succeeded","text":"x\ny","versions":[2,3],"score":"s"}"#;
-    assert_eq!(json(&told(listed(&[2, 3]), false, None)), expected);
-    let dead = told(ListedResult::dead("a1".to_owned()), false, None);
+    assert_eq!(json(&reported(listed(&[2, 3]), false, None)), expected);
+    let dead = reported(ListedResult::dead("a1".to_owned()), false, None);
     let expected = r#"{"id":"a1","state":"dead","text":"","versions":[]}"#;
     assert_eq!(json(&dead), expected);
 }
 
 #[test]
-fn a_reader_whose_dialect_tells_segments_reads_them() {
-    let told = told(listed(&[2]), true, None);
-    assert_eq!(told.segments, listed(&[2]).segments);
+fn segments_are_reported_if_the_dialect_has_them() {
+    let reported = reported(listed(&[2]), true, None);
+    assert_eq!(reported.segments, listed(&[2]).segments);
     let expected = r#""segments":[{"engine":"a","version":2,"events":2}]}"#;
-    assert!(json(&told).ends_with(expected), "{}", json(&told));
+    assert!(json(&reported).ends_with(expected), "{}", json(&reported));
 }
 
 #[test]
-fn a_text_with_one_event_that_is_too_old_is_not_handed_over() {
-    let too_old = told(listed(&[2, 3]), true, Some(3));
+fn text_with_one_too_old_event_is_omitted() {
+    let too_old = reported(listed(&[2, 3]), true, Some(3));
     let expected = r#"{"id":"a1","state":"too_old","text":"","versions":[2,3]}"#;
     assert_eq!(json(&too_old), expected);
-    let fresh = told(listed(&[2, 3]), true, Some(2));
+    let fresh = reported(listed(&[2, 3]), true, Some(2));
     assert_eq!(
         (fresh.state, fresh.text.as_str()),
         (ReportedResultState::Succeeded, "x\ny")
@@ -61,9 +61,9 @@
 }
 
 #[test]
-fn events_without_a_version_are_older_than_any() {
+fn events_without_a_version_are_older_than_any_version() {
     assert_eq!(
-        told(listed(&[]), true, Some(1)).state,
+        reported(listed(&[]), true, Some(1)).state,
         ReportedResultState::TooOld
     );
     let mut partly = listed(&[3]);
@@ -73,13 +73,13 @@
         events: 1,
     });
     assert_eq!(
-        told(partly, true, Some(3)).state,
+        reported(partly, true, Some(3)).state,
         ReportedResultState::TooOld
     );
 }
 
 #[test]
-fn an_item_that_was_given_up_is_dead_whatever_the_reader_takes() {
-    let dead = told(ListedResult::dead("a1".to_owned()), true, Some(9));
+fn dead_item_stays_dead_whatever_the_reader_accepts() {
+    let dead = reported(ListedResult::dead("a1".to_owned()), true, Some(9));
     assert_eq!(dead.state, ReportedResultState::Dead);
 }
--- a/crates/sloetrail-batch/src/result.rs
+++ b/crates/sloetrail-batch/src/result.rs
@@ -1,4 +1,4 @@
-//! What a batch lists, and how the table keeps it.
+//! The listed results of a batch and their stored form.
 
 use crate::{ItemId, TextSegment};
 use bytes::Bytes;
@@ -6,35 +6,34 @@
 use sloetrail_types::WeightVersion;
 use snafu::{ResultExt, Snafu};
 
-/// Whether an item has its text.
+/// The final state of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ResultState {
-    /// The text is whole and scored.
+    /// The text is complete, and scored if the item has a reward call.
     Succeeded,
-    /// The item was given up.
+    /// The item failed permanently.
     Dead,
 }
 
-/// One entry of a batch's list. Once committed at a position it never changes.
+/// An entry in the list of a batch. Immutable once committed at a position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedResult {
-    /// The item.
     pub id: ItemId,
-    /// Whether it has its text.
     pub state: ResultState,
     /// The data of all events in order, separated by line feeds.
     pub text: String,
-    /// Every version that made an event.
+    /// The distinct weight versions that generated events, ascending.
     pub versions: Vec<WeightVersion>,
     /// The signature of the reward call's answer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub score: Option<String>,
-    /// True if with this entry and those before it all groups that the trainer waits for
-    /// are whole. Kept with the entry and not told to readers.
+    /// True if all required groups are complete with this entry and the entries before it.
+    /// Stored with the entry, but not reported to readers.
     #[serde(default, skip_serializing_if = "is_false")]
     pub groups_are_whole: bool,
-    /// Which engine made which events, in order. Kept only where the dialect tells it.
+    /// The engine and weight version of each run of events, in order. Empty if the dialect
+    /// does not name engines.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub segments: Vec<TextSegment>,
 }
@@ -43,15 +42,14 @@
     !value
 }
 
-/// A stored result that cannot be read.
 #[derive(Debug, Snafu)]
-#[snafu(display("a stored result cannot be read: {source}"))]
+#[snafu(display("cannot decode the stored result: {source}"))]
 pub struct StoredResultError {
     source: ciborium::de::Error<std::io::Error>,
 }
 
 impl ListedResult {
-    /// An entry for an item that was given up.
+    /// Creates the entry of a dead item.
     pub fn dead(id: ItemId) -> Self {
         Self {
             id,
@@ -64,8 +62,8 @@
         }
     }
 
-    /// The oldest version that made an event. An event whose engine named none counts as
-    /// older than every version.
+    /// Returns the oldest version that generated an event. An event without a version counts
+    /// as older than every version.
     pub fn oldest_version(&self) -> WeightVersion {
         let of_segments = self
             .segments
@@ -75,17 +73,17 @@
         named.chain(of_segments).min().unwrap_or_default()
     }
 
-    /// The stored form, cut into rows of at most `row_bytes`.
+    /// Encodes the result and splits it into rows of at most `row_bytes`.
     pub fn to_rows(&self, row_bytes: usize) -> Vec<Bytes> {
         let mut encoded = Vec::new();
-        ciborium::into_writer(self, &mut encoded).expect("memory takes every write");
+        ciborium::into_writer(self, &mut encoded).expect("writing to memory cannot fail");
         let encoded = Bytes::from(encoded);
         let cuts = (0..encoded.len()).step_by(row_bytes);
         cuts.map(|start| encoded.slice(start..encoded.len().min(start + row_bytes)))
             .collect()
     }
 
-    /// Reads the stored form, joined again.
+    /// Decodes the result from its concatenated rows.
     pub fn from_stored(joined: &[u8]) -> Result<Self, StoredResultError> {
         ciborium::from_reader(joined).context(StoredResultSnafu)
     }
--- a/crates/sloetrail-batch/src/segment.rs
+++ b/crates/sloetrail-batch/src/segment.rs
@@ -1,19 +1,19 @@
-//! Which engine and which weights made which part of a text.
+//! The engine and weight version of each part of a text.
 
 use crate::TranscriptEvent;
 use serde::{Deserialize, Serialize};
 use sloetrail_types::{EngineId, WeightVersion};
 
-/// Consecutive events of a text that one engine made under one version of the weights.
+/// Consecutive events of a text that one engine generated with one weight version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TextSegment {
-    /// The engine; absent for events whose engine was not kept.
+    /// None if the engine of the events was not stored.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub engine: Option<EngineId>,
-    /// The version, by the engine's own word; absent if it named none.
+    /// The version reported by the engine. None if it reported none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<WeightVersion>,
-    /// How many events.
+    /// The number of events.
     pub events: usize,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// The segments of these events in order; none if no event names its engine.
+/// Returns the segments of these events in order. Empty if no event names its engine.
 pub(crate) fn segments_of(events: &[TranscriptEvent]) -> Vec<TextSegment> {
     if events.iter().all(|event| event.engine.is_none()) {
         return Vec::new();
@@ -42,7 +42,7 @@
     segments
 }
 
-/// Gives each event the engine that its segment names.
+/// Sets the engine of each event from its segment.
 pub(crate) fn assign_engines(events: &mut [TranscriptEvent], segments: &[TextSegment]) {
     let engines = segments
         .iter()
--- a/crates/sloetrail-batch/src/segment/tests.rs
+++ b/crates/sloetrail-batch/src/segment/tests.rs
@@ -25,18 +25,20 @@
 fn transcript(events: impl IntoIterator<Item = TranscriptEvent>) -> Transcript {
     let mut transcript = Transcript::default();
     for event in events {
-        transcript.push(event).expect("it follows");
+        transcript
+            .push(event)
+            .expect("event numbers are consecutive");
     }
     transcript
 }
 
 fn stored(value: &impl Serialize) -> Vec<u8> {
     let mut encoded = Vec::new();
-    ciborium::into_writer(value, &mut encoded).expect("memory takes every write");
+    ciborium::into_writer(value, &mut encoded).expect("writing to memory cannot fail");
     encoded
 }
 
-/// A result as rows held it without segments.
+/// The stored form of a result before segments were added.
 #[derive(Serialize)]
 struct ResultWithoutSegments {
     id: String,
@@ -48,9 +50,9 @@
     groups_are_whole: bool,
 }
 
-/// A piece of a text as rows held it without segments.
+/// The stored form of a checkpoint before segments were added.
 #[derive(Serialize)]
-struct PieceWithoutSegments {
+struct CheckpointWithoutSegments {
     index: usize,
     generation: u32,
     offset: usize,
@@ -64,13 +66,13 @@
     version: Option<WeightVersion>,
 }
 
-fn piece_without_segments() -> PieceWithoutSegments {
+fn checkpoint_without_segments() -> CheckpointWithoutSegments {
     let events = (1..4).map(|number| EventWithoutEngine {
         number,
         data: format!("data {number}"),
         version: Some(WeightVersion(2)),
     });
-    PieceWithoutSegments {
+    CheckpointWithoutSegments {
         index: 3,
         generation: 1,
         offset: 0,
@@ -91,7 +93,7 @@
 }
 
 #[test]
-fn segments_join_what_follows_each_other_and_nothing_else() {
+fn segments_join_only_consecutive_equal_events() {
     let text = transcript([
         event(1, Some("a"), 2),
         event(2, Some("a"), 2),
@@ -110,7 +112,7 @@
 }
 
 #[test]
-fn events_whose_engine_was_not_kept_are_told_as_such() {
+fn segments_without_a_stored_engine_have_none() {
     let text = transcript([event(1, None, 2), event(2, Some("b"), 2)]);
     let expected = [segment(None, 2, 1), segment(Some("b"), 2, 1)];
     assert_eq!(text.segments(), expected);
@@ -119,27 +121,27 @@
 }
 
 #[test]
-fn checkpoints_keep_the_engine_of_each_event() {
-    let pieces = [
+fn checkpoints_preserve_the_engine_of_each_event() {
+    let parts = [
         vec![event(1, Some("a"), 2), event(2, Some("b"), 2)],
         vec![event(3, Some("b"), 3), event(4, None, 3)],
     ];
-    let read = pieces.iter().enumerate().map(|(place, events)| {
-        let piece = Checkpoint {
+    let read = parts.iter().enumerate().map(|(position, events)| {
+        let checkpoint = Checkpoint {
             index: 0,
             generation: 0,
-            offset: place * 2,
+            offset: position * 2,
             events: events.clone(),
         };
-        Checkpoint::from_stored(&piece.to_stored()).expect("readable")
+        Checkpoint::from_stored(&checkpoint.to_stored()).expect("readable")
     });
     let joined = join_checkpoints(read);
-    assert_eq!(joined[&0].1, transcript(pieces.concat()));
+    assert_eq!(joined[&0].1, transcript(parts.concat()));
 }
 
 #[test]
-fn rows_without_segments_are_read_and_written_byte_for_byte() {
-    let before = stored(&ResultWithoutSegments {
+fn results_without_segments_round_trip_byte_for_byte() {
+    let encoded = stored(&ResultWithoutSegments {
         id: "a1".to_owned(),
         state: ResultState::Succeeded,
         text: "data 1\ndata 2".to_owned(),
@@ -147,21 +149,21 @@
         score: Some("s".to_owned()),
         groups_are_whole: true,
     });
-    let read = ListedResult::from_stored(&before).expect("readable");
+    let read = ListedResult::from_stored(&encoded).expect("readable");
     assert_eq!(read, listed(Vec::new()));
-    assert_eq!(read.to_rows(before.len()).concat(), before);
+    assert_eq!(read.to_rows(encoded.len()).concat(), encoded);
 }
 
 #[test]
-fn checkpoints_without_engines_are_read_and_written_byte_for_byte() {
-    let before = stored(&piece_without_segments());
-    let read = Checkpoint::from_stored(&before).expect("readable");
+fn checkpoints_without_engines_round_trip_byte_for_byte() {
+    let encoded = stored(&checkpoint_without_segments());
+    let read = Checkpoint::from_stored(&encoded).expect("readable");
     assert_eq!(read.events, [1, 2, 3].map(|number| event(number, None, 2)));
-    assert_eq!(read.to_stored(), before);
+    assert_eq!(read.to_stored(), encoded);
 }
 
 #[test]
-fn results_keep_their_segments() {
+fn results_preserve_their_segments() {
     let result = listed(vec![segment(Some("a"), 2, 1), segment(Some("b"), 2, 1)]);
     let rows = result.to_rows(64).concat();
     assert_eq!(ListedResult::from_stored(&rows).expect("readable"), result);
--- a/crates/sloetrail-batch/src/submission.rs
+++ b/crates/sloetrail-batch/src/submission.rs
@@ -1,4 +1,4 @@
-//! What a trainer submits.
+//! The batch submission of a trainer.
 
 use crate::header::is_usable_id;
 use base64::Engine;
@@ -9,93 +9,80 @@
 use snafu::{ResultExt, Snafu, ensure};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An item's id, chosen by the trainer.
+/// The id of an item, chosen by the trainer.
 pub type ItemId = String;
 
-/// A batch as it was sent.
+/// A batch as the trainer submits it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Submission {
     /// The training step, counted from zero.
     #[serde(default)]
     pub step: Option<StepNumber>,
-    /// The model whose weights make the samples.
+    /// The model that generates the samples.
     #[serde(default)]
     pub model: Option<String>,
-    /// The oldest version that may make a token.
+    /// The oldest weight version that may generate a token.
     #[serde(default)]
     pub min_version: Option<WeightVersion>,
-    /// How many whole groups the trainer waits for; absent means all.
+    /// The number of complete groups that the trainer waits for. None means all.
     #[serde(default, rename = "desired")]
     pub desired_groups: Option<usize>,
-    /// The items.
     pub items: Vec<SubmittedItem>,
 }
 
-/// One item of a batch.
+/// An item of a batch.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct SubmittedItem {
-    /// Its id, unique within the batch.
+    /// Unique within the batch.
     pub id: ItemId,
-    /// The path at the back end.
+    /// The request path at the back end.
     pub path: String,
-    /// Headers that go with it.
+    /// The request headers.
     #[serde(default)]
     pub headers: BTreeMap<String, String>,
-    /// The body, base64 in the submission.
+    /// The request body. Base64 in the submission.
     #[serde(default, deserialize_with = "base64_bytes")]
     pub body: Bytes,
-    /// Tokens of the prompt and the most out, summed.
+    /// Prompt tokens plus the maximum number of output tokens.
     #[serde(default)]
     pub tokens: u64,
-    /// Items of one group share their prompt and count together.
+    /// The group. Its items share a prompt, and it is complete when all of them are listed.
     #[serde(default)]
     pub group: Option<String>,
-    /// The call that scores the text.
+    /// The request that scores the text.
     #[serde(default)]
     pub reward: Option<RewardCall>,
 }
 
-/// A request that scores a whole text.
+/// A request that scores a complete text.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct RewardCall {
-    /// Its request id.
     pub id: String,
-    /// The host of its route.
     pub host: String,
-    /// Its path.
     pub path: String,
-    /// Its body, base64 in the submission.
+    /// Base64 in the submission.
     #[serde(default, deserialize_with = "base64_bytes")]
     pub body: Bytes,
 }
 
-/// A submission that is refused.
+/// Why a submission is refused.
 #[derive(Debug, Snafu)]
 pub enum SubmissionError {
-    /// It is not the JSON that is expected.
-    #[snafu(display("the batch cannot be read: {source}"))]
-    Unreadable {
-        /// What the parser said.
-        source: serde_json::Error,
-    },
-    /// An id cannot be part of a key.
+    /// The body is not valid JSON of a submission.
+    #[snafu(display("cannot parse the batch as JSON: {source}"))]
+    Unreadable { source: serde_json::Error },
+    /// An item id is not valid as part of a row key.
     #[snafu(display(
-        "the id {id:?} is empty, too long or holds other signs than letters, digits, '-', '_', '.'"
+        "item id {id:?} is empty, too long, or contains characters other than ASCII letters, digits, '-', '_', '.'"
     ))]
-    UnusableId {
-        /// The id as written.
-        id: String,
-    },
-    /// Two items have one id.
-    #[snafu(display("two items have the id {id:?}"))]
-    DuplicateId {
-        /// The id.
-        id: String,
-    },
+    UnusableId { id: String },
+    /// Two items have the same id.
+    #[snafu(display("duplicate item id {id:?}"))]
+    DuplicateId { id: String },
 }
 
 impl Submission {
-    /// Reads and checks the JSON form.
+    /// Parses the JSON form and validates the item ids.
     pub fn parse(json: &[u8]) -> Result<Self, SubmissionError> {
         let submission: Self = serde_json::from_slice(json).context(UnreadableSnafu)?;
         let mut ids = BTreeSet::new();
@@ -106,7 +93,7 @@
         Ok(submission)
     }
 
-    /// The oldest version that may make a token.
+    /// The oldest weight version that may generate a token. Zero if the trainer set none.
     pub fn oldest_version(&self) -> WeightVersion {
         self.min_version.unwrap_or_default()
     }
--- a/crates/sloetrail-batch/src/tests.rs
+++ b/crates/sloetrail-batch/src/tests.rs
@@ -33,7 +33,7 @@
 fn submission(items: Vec<Value>, desired: usize) -> Submission {
     let json =
         json!({"step": 1, "model": "m", "min_version": 2, "desired": desired, "items": items});
-    Submission::parse(json.to_string().as_bytes()).expect("sound")
+    Submission::parse(json.to_string().as_bytes()).expect("valid")
 }
 
 pub(crate) fn batch(items: Vec<Value>, desired: usize, carried: &[&str]) -> Batch {
@@ -49,7 +49,7 @@
     )
 }
 
-fn order(batch: &mut Batch) -> Vec<String> {
+fn dispatch_all(batch: &mut Batch) -> Vec<String> {
     let mut ids = Vec::new();
     while let Some(index) = batch.start_next() {
         ids.push(batch.item(index).submitted.id.clone());
@@ -66,7 +66,7 @@
     }
 }
 
-const WANTED_FIRST: DispatchOrder = DispatchOrder {
+const REQUIRED_FIRST: DispatchOrder = DispatchOrder {
     required_first: true,
     longest_first: true,
 };
@@ -83,27 +83,33 @@
 }
 
 #[test]
-fn the_longest_items_go_first_whatever_their_group() {
+fn longest_items_are_dispatched_first() {
     let mut batch = batch(three_groups(), 2, &[]);
-    assert_eq!(order(&mut batch), ["a2", "c1", "b1", "b2", "a1", "c2"]);
+    assert_eq!(
+        dispatch_all(&mut batch),
+        ["a2", "c1", "b1", "b2", "a1", "c2"]
+    );
 }
 
 #[test]
-fn items_go_as_they_were_submitted_if_lengths_do_not_count() {
+fn items_without_length_order_keep_submission_order() {
     let mut batch = batch(three_groups(), 2, &[]);
     batch.set_dispatch_order(DispatchOrder {
         required_first: false,
         longest_first: false,
     });
-    assert_eq!(order(&mut batch), ["a1", "a2", "b1", "b2", "c1", "c2"]);
+    assert_eq!(
+        dispatch_all(&mut batch),
+        ["a1", "a2", "b1", "b2", "c1", "c2"]
+    );
 }
 
 #[test]
-fn a_step_is_whole_once_as_many_groups_are_listed_as_are_waited_for() {
+fn step_is_complete_once_the_required_groups_are_listed() {
     let mut batch = batch(three_groups(), 2, &[]);
-    let whole: Vec<bool> = (0..6).map(|index| batch.record_listed(index)).collect();
-    assert_eq!(whole, [false, false, false, true, false, false]);
-    assert!(!batch.record_listed(3), "an item counts once");
+    let complete: Vec<bool> = (0..6).map(|index| batch.record_listed(index)).collect();
+    assert_eq!(complete, [false, false, false, true, false, false]);
+    assert!(!batch.record_listed(3), "an item is counted once");
     assert_eq!(
         (batch.groups().completed(), batch.groups().required()),
         (3, 2)
@@ -111,14 +117,14 @@
 }
 
 #[test]
-fn a_step_is_whole_once_the_groups_that_were_left_over_are_whole_as_well() {
+fn step_also_requires_the_carried_over_groups() {
     let mut batch = batch(three_groups(), 2, &["c1"]);
-    let whole: Vec<bool> = (0..6).map(|index| batch.record_listed(index)).collect();
-    assert_eq!(whole, [false, false, false, false, false, true]);
+    let complete: Vec<bool> = (0..6).map(|index| batch.record_listed(index)).collect();
+    assert_eq!(complete, [false, false, false, false, false, true]);
 }
 
 #[test]
-fn results_tell_from_which_position_on_the_groups_are_whole() {
+fn results_mark_the_positions_with_complete_groups() {
     let mut batch = batch(three_groups(), 2, &[]);
     let results: Vec<ListedResult> = [0, 1, 4]
         .map(|index| batch.succeed(index, None))
@@ -126,15 +132,15 @@
         .chain([2, 3].map(|index| batch.mark_dead(index)))
         .chain([batch.succeed(5, None)])
         .collect();
-    let whole: Vec<bool> = results
+    let complete: Vec<bool> = results
         .iter()
         .map(|result| result.groups_are_whole)
         .collect();
-    assert_eq!(whole, [false, false, false, false, true, true]);
+    assert_eq!(complete, [false, false, false, false, true, true]);
 }
 
 #[test]
-fn a_new_owner_counts_what_is_listed_already() {
+fn new_owner_counts_already_listed_results() {
     let mut batch = batch(three_groups(), 2, &[]);
     for index in [0, 1, 2] {
         batch.record_listed(index);
@@ -142,33 +148,36 @@
     assert!(batch.succeed(3, None).groups_are_whole);
     assert!(
         batch.record_listed(3),
-        "the step is told when it is in the list"
+        "the step is complete once the result is listed"
     );
 }
 
 #[test]
-fn wanted_groups_go_first_and_of_these_the_longest_items() {
+fn required_groups_are_dispatched_first_by_length() {
     let mut batch = batch(three_groups(), 2, &[]);
-    batch.set_dispatch_order(WANTED_FIRST);
-    assert_eq!(order(&mut batch), ["c1", "b1", "b2", "c2", "a1", "a2"]);
+    batch.set_dispatch_order(REQUIRED_FIRST);
+    assert_eq!(
+        dispatch_all(&mut batch),
+        ["c1", "b1", "b2", "c2", "a1", "a2"]
+    );
 }
 
 #[test]
-fn a_group_that_is_carried_over_is_wanted_however_long() {
+fn carried_over_group_is_required_whatever_its_length() {
     let items = vec![
         item("a1", "a", 900),
         item("b1", "b", 70),
         item("c1", "c", 400),
     ];
     let mut batch = batch(items, 1, &["a1"]);
-    batch.set_dispatch_order(WANTED_FIRST);
-    assert_eq!(order(&mut batch), ["a1", "b1", "c1"]);
+    batch.set_dispatch_order(REQUIRED_FIRST);
+    assert_eq!(dispatch_all(&mut batch), ["a1", "b1", "c1"]);
 }
 
 #[test]
-fn an_interrupted_run_waits_again_with_its_text() {
+fn interrupted_run_is_queued_again_with_its_text() {
     let mut batch = batch(vec![item("a1", "a", 5)], 1, &[]);
-    let index = batch.start_next().expect("one waits");
+    let index = batch.start_next().expect("an item is waiting");
     let mut transcript = Transcript::default();
     transcript.push(event(1, "x", 2)).expect("first");
     batch.set_transcript(index, transcript.clone());
@@ -182,9 +191,9 @@
 }
 
 #[test]
-fn an_item_dies_only_of_its_own_failures() {
+fn item_becomes_dead_only_by_its_own_failures() {
     let mut batch = batch(vec![item("a1", "a", 5), item("a2", "a", 4)], 1, &[]);
-    let first = batch.start_next().expect("one waits");
+    let first = batch.start_next().expect("an item is waiting");
     for _ in 0..5 {
         assert_eq!(
             batch.record_run_failure(first, RunFailure::Interrupted),
@@ -197,15 +206,15 @@
     let cause = batch.record_run_failure(first, RunFailure::Failed);
     assert_eq!(cause, Some(DeathCause::RunsFailed));
     assert_eq!(batch.mark_dead(first), ListedResult::dead("a1".to_owned()));
-    let second = batch.start_next().expect("the other waits");
+    let second = batch.start_next().expect("the second item is waiting");
     let cause = batch.record_run_failure(second, RunFailure::Impossible);
     assert_eq!(cause, Some(DeathCause::Impossible));
 }
 
 #[test]
-fn a_result_names_the_versions_of_its_events() {
+fn result_names_the_versions_of_its_events() {
     let mut batch = batch(vec![item("a1", "a", 5)], 1, &[]);
-    let index = batch.start_next().expect("one waits");
+    let index = batch.start_next().expect("an item is waiting");
     let mut transcript = Transcript::default();
     transcript.push(event(1, "x", 2)).expect("first");
     transcript.push(event(2, "y", 3)).expect("second");
@@ -221,13 +230,13 @@
 }
 
 #[test]
-fn a_large_result_is_cut_into_rows_and_joined_again() {
+fn large_result_round_trips_through_rows() {
     let mut result = ListedResult::dead("a1".to_owned());
     result.text = "long ".repeat(1_000);
     let rows = result.to_rows(700);
     assert!(rows.len() > 7 && rows.iter().all(|row| row.len() <= 700));
     let joined: Vec<u8> = rows.concat();
-    assert_eq!(ListedResult::from_stored(&joined).expect("sound"), result);
+    assert_eq!(ListedResult::from_stored(&joined).expect("valid"), result);
     assert!(ListedResult::from_stored(&joined[..20]).is_err());
 }
 
@@ -245,7 +254,7 @@
     assert!(is_usable_id("7c41e0-9b_5.2") && !is_usable_id("") && !is_usable_id("a b"));
 }
 
-fn piece(index: usize, generation: u32, offset: usize, numbers: &[u64]) -> Checkpoint {
+fn checkpoint(index: usize, generation: u32, offset: usize, numbers: &[u64]) -> Checkpoint {
     let events = numbers
         .iter()
         .map(|number| event(*number, "x", 2))
@@ -259,27 +268,24 @@
 }
 
 #[test]
-fn checkpoints_are_joined_as_far_as_they_follow() {
-    let pieces = [
-        piece(0, 0, 2, &[3]),
-        piece(0, 0, 0, &[1, 2]),
-        piece(0, 0, 4, &[5, 6]),
-        piece(1, 0, 0, &[1, 2, 3]),
-        piece(1, 1, 0, &[1]),
+fn checkpoints_are_joined_up_to_the_first_gap() {
+    let checkpoints = [
+        checkpoint(0, 0, 2, &[3]),
+        checkpoint(0, 0, 0, &[1, 2]),
+        checkpoint(0, 0, 4, &[5, 6]),
+        checkpoint(1, 0, 0, &[1, 2, 3]),
+        checkpoint(1, 1, 0, &[1]),
     ];
-    let stored = pieces.iter().map(Checkpoint::to_stored);
+    let stored = checkpoints.iter().map(Checkpoint::to_stored);
     let read = stored.filter_map(|stored| Checkpoint::from_stored(&stored));
     let joined = join_checkpoints(read);
-    assert_eq!(joined[&0].1.len(), 3, "a missing piece ends the text");
-    assert_eq!(
-        joined[&1].0, 1,
-        "a text that began anew replaces the one before"
-    );
+    assert_eq!(joined[&0].1.len(), 3, "a gap ends the text");
+    assert_eq!(joined[&1].0, 1, "a newer generation replaces the older one");
     assert_eq!(joined[&1].1.len(), 1);
 }
 
 #[test]
-fn the_rank_of_a_tenant_goes_before_that_of_the_route() {
+fn tenant_priority_overrides_route_priority() {
     let ranked = |tenant_priority, priority, accepted_at_ms| BatchHeader {
         tenant_priority,
         priority,
@@ -299,9 +305,9 @@
 }
 
 #[test]
-fn a_head_that_was_stored_without_regions_binds_its_batch_to_none() {
-    let mut stored = serde_json::to_value(header(3)).expect("a head");
-    let fields = stored.as_object_mut().expect("fields");
+fn stored_header_without_regions_allows_all_regions() {
+    let mut stored = serde_json::to_value(header(3)).expect("serializable header");
+    let fields = stored.as_object_mut().expect("JSON object");
     for field in ["allowed_regions", "model", "oldest_version"] {
         assert!(fields.remove(field).is_some(), "{field}");
     }
--- a/crates/sloetrail-batch/src/transcript.rs
+++ b/crates/sloetrail-batch/src/transcript.rs
@@ -1,4 +1,4 @@
-//! The text of a sample while it is made.
+//! The text of a sample during generation.
 
 use crate::TextSegment;
 use crate::segment::segments_of;
@@ -6,40 +6,39 @@
 use sloetrail_types::{EngineId, WeightVersion};
 use snafu::Snafu;
 
-/// One event of a text.
+/// An event of a text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TranscriptEvent {
-    /// Its number; the next event has the next number.
+    /// Increases by one from event to event.
     pub number: u64,
-    /// Its data.
     pub data: String,
-    /// The version of the weights that made it, by the engine's own word.
+    /// The weight version reported by the engine.
     pub version: Option<WeightVersion>,
-    /// The engine that made it, where that is told. Kept with the events of a checkpoint
-    /// as segments.
+    /// The engine that generated the event, if known. Checkpoints store it in segments
+    /// instead of in each event.
     #[serde(skip)]
     pub engine: Option<EngineId>,
 }
 
-/// Consecutive events of one sample, perhaps from several runs that continued
-/// each other.
+/// Consecutive events of one sample, from one run or from several runs that resumed each
+/// other.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transcript {
     events: Vec<TranscriptEvent>,
 }
 
-/// An event that does not follow.
 #[derive(Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("event {number} does not follow event {last}"))]
+#[snafu(display("transcript event {number} does not follow event {last}"))]
 pub struct TranscriptError {
-    /// The number of the last event that is held.
+    /// The number of the last event in the transcript.
     pub last: u64,
-    /// The number of the event that came.
+    /// The number of the refused event.
     pub number: u64,
 }
 
 impl Transcript {
-    /// Adds the next event; an event out of turn is refused and changes nothing.
+    /// Appends the next event. Returns an error and changes nothing if its number is not the
+    /// next.
     pub fn push(&mut self, event: TranscriptEvent) -> Result<(), TranscriptError> {
         if let Some(last) = self.last_number()
             && event.number != last + 1
@@ -51,27 +50,24 @@
         Ok(())
     }
 
-    /// The number of the last event.
     pub fn last_number(&self) -> Option<u64> {
         self.events.last().map(|event| event.number)
     }
 
-    /// How many events there are.
     pub fn len(&self) -> usize {
         self.events.len()
     }
 
-    /// True if there is no event.
     pub fn is_empty(&self) -> bool {
         self.events.is_empty()
     }
 
-    /// The events after the first `count`.
+    /// Returns the events after the first `count`.
     pub fn after(&self, count: usize) -> &[TranscriptEvent] {
         self.events.get(count..).unwrap_or_default()
     }
 
-    /// Every version that made an event, rising.
+    /// Returns the distinct weight versions of the events, ascending.
     pub fn versions(&self) -> Vec<WeightVersion> {
         let mut versions: Vec<WeightVersion> = self
             .events
@@ -83,19 +79,19 @@
         versions
     }
 
-    /// Which engine made which events, in order; empty if no event names its engine.
+    /// Returns the segments in order. Empty if no event names its engine.
     pub fn segments(&self) -> Vec<TextSegment> {
         segments_of(&self.events)
     }
 
-    /// True if each event was made under `oldest` or newer weights.
+    /// Returns true if every event has weight version `oldest` or newer.
     pub fn is_fresh(&self, oldest: WeightVersion) -> bool {
         self.events
             .iter()
             .all(|event| event.version.unwrap_or_default() >= oldest)
     }
 
-    /// The data of all events in order, separated by line feeds.
+    /// Returns the data of all events in order, separated by line feeds.
     pub fn text(&self) -> String {
         let data: Vec<&str> = self
             .events
--- a/crates/sloetrail-result/src/code.rs
+++ b/crates/sloetrail-result/src/code.rs
@@ -1,57 +1,54 @@
-//! The table of result codes.
+//! The table of numbered result codes.
 
 use serde::{Deserialize, Serialize};
 
-/// What a code says about whether the request ran.
+/// Whether the request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Proved: no engine ran it and nothing was changed.
+    /// No engine ran the request and nothing was changed.
     NotRun,
-    /// It may have run; the system does not know.
+    /// The request may have run.
     OutcomeUnknown,
-    /// It ran, and failed.
+    /// The request ran and failed.
     RanAndFailed,
 }
 
 macro_rules! result_codes {
     ($($name:ident = $number:literal, $kind:ident, $status:literal, $title:literal, $meaning:literal, $action:literal;)*) => {
-        /// A numbered result code. 1xxx: requests and samples, 2xxx: files and applies, 3xxx: programs.
+        /// A numbered result code. 1xxx: requests and samples. 2xxx: configuration files
+        /// and applies. 3xxx: programs.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum ResultCode {
             $(#[doc = $meaning] $name = $number,)*
         }
 
         impl ResultCode {
-            /// Every code, by number.
+            /// All codes, ascending by number.
             pub const ALL: &[ResultCode] = &[$(ResultCode::$name,)*];
 
-            /// The code of a number, if there is one.
+            /// Returns the code with this number, or None if there is none.
             pub fn from_number(number: u16) -> Option<Self> {
                 match number { $($number => Some(ResultCode::$name),)* _ => None }
             }
 
-            /// What the code says about whether the request ran.
             pub fn kind(self) -> Kind {
                 match self { $(ResultCode::$name => Kind::$kind,)* }
             }
 
-            /// The HTTP status that goes with the code.
             pub fn status(self) -> u16 {
                 match self { $(ResultCode::$name => $status,)* }
             }
 
-            /// A short name for people.
+            /// The short name shown to users.
             pub fn title(self) -> &'static str {
                 match self { $(ResultCode::$name => $title,)* }
             }
 
-            /// What the code means.
             pub fn meaning(self) -> &'static str {
                 match self { $(ResultCode::$name => $meaning,)* }
             }
 
-            /// What the reader can do about it.
             pub fn action(self) -> &'static str {
                 match self { $(ResultCode::$name => $action,)* }
             }
@@ -115,7 +112,6 @@
 }
 
 impl ResultCode {
-    /// The number that users see.
     pub fn number(self) -> u16 {
         self as u16
     }
--- a/crates/sloetrail-result/src/lib.rs
+++ b/crates/sloetrail-result/src/lib.rs
@@ -1,9 +1,8 @@
 //! Numbered result codes and the problem documents that carry them.
 //!
-//! Every refusal or failure that leaves a sloetrail program names one
-//! [`ResultCode`]. The code fixes its number, its [`Kind`] and its HTTP status,
-//! so the three kinds can never be mixed. `docs/RESULT-CODES.md` is the same
-//! table for people; a test holds the two together.
+//! Every refusal or failure reported by a sloetrail program carries one
+//! [`ResultCode`], which determines its number, [`Kind`] and HTTP status.
+//! `docs/RESULT-CODES.md` documents the same table; a test compares the two.
 
 mod code;
 mod problem;
--- a/crates/sloetrail-result/src/tests.rs
+++ b/crates/sloetrail-result/src/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_page_and_the_code_hold_the_same_table() {
+fn documented_codes_match_the_table() {
     let page = include_str!("../../../docs/RESULT-CODES.md");
     let documented: Vec<&str> = page
         .lines()
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn numbers_lead_back_to_their_codes() {
+fn codes_are_found_by_their_numbers() {
     for code in ResultCode::ALL {
         assert_eq!(ResultCode::from_number(code.number()), Some(*code));
     }
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_problem_takes_kind_and_status_from_its_code() {
+fn problem_has_the_kind_and_status_of_its_code() {
     let problem = Problem::new(ResultCode::EngineLost, "lost").with_retry_after_ms(5);
     assert_eq!(problem.kind, Kind::OutcomeUnknown);
     assert_eq!(problem.status, 502);
--- a/crates/sloetrail-rollout/src/lib.rs
+++ b/crates/sloetrail-rollout/src/lib.rs
@@ -1,11 +1,11 @@
 //! Planning of weight rollouts.
 //!
-//! A new version goes to the engines in two steps: each loads it beside the one
-//! in use, then switches. [`RolloutPlanner`] decides who loads from where, so
-//! that the rate-limited weight store is read a few times only and engines pass
-//! the version on in a tree, and who switches when, so that enough engines stay
-//! in service. A step that fails leaves the engine as it was and is tried again
-//! later.
+//! An engine adopts a new weight version in two steps: it loads the version
+//! next to the active one, then switches. [`RolloutPlanner`] selects the source
+//! of each load, so that few engines read the rate-limited weight store and the
+//! others read from peers. It also limits concurrent switches, so that enough
+//! engines stay in service. A failed step leaves the engine unchanged and is
+//! retried after a backoff.
 
 mod planner;
 
--- a/crates/sloetrail-rollout/src/planner.rs
+++ b/crates/sloetrail-rollout/src/planner.rs
@@ -1,64 +1,57 @@
-//! Which engine does what next.
+//! Selects the next rollout step of each engine.
 
 use sloetrail_types::{EngineId, Timestamp, WeightVersion};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-const BACKOFF_FIRST: Duration = Duration::from_millis(200);
-const BACKOFF_DOUBLINGS_LIMIT: u32 = 4;
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// What an engine holds, by its last status.
+/// The weights of an engine according to its last status.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineWeights {
-    /// The version in use.
+    /// The active version.
     pub version: WeightVersion,
-    /// The versions in memory.
+    /// All versions in memory.
     pub loaded: BTreeSet<WeightVersion>,
 }
 
-/// The bounds of a rollout.
+/// The concurrency limits of a rollout.
 #[derive(Clone, Copy, Debug)]
 pub struct RolloutLimits {
-    /// Engines that read the weight store at a time.
+    /// The maximum number of concurrent loads from the weight store.
     pub store_reads: usize,
-    /// Engines that read from one engine at a time.
+    /// The maximum number of concurrent loads from one engine.
     pub peer_reads: usize,
-    /// Share of the engines that must not be switching, in percent.
+    /// The minimum share of engines that are not switching.
     pub capacity_floor_percent: u32,
 }
 
-/// Where an engine gets a version from.
+/// The source from which an engine loads a version.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WeightSource {
-    /// The weight store.
     Store,
-    /// An engine that holds it.
+    /// An engine that has the version loaded.
     Peer(EngineId),
 }
 
-/// One step of one engine.
+/// A rollout step of one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RolloutStep {
-    /// Load the version beside the one in use.
+    /// Load the version next to the active one.
     Load {
-        /// The engine.
         engine: EngineId,
-        /// The version.
         version: WeightVersion,
-        /// Where it gets it from.
         source: WeightSource,
     },
-    /// Use the version.
+    /// Make the version active.
     Switch {
-        /// The engine.
         engine: EngineId,
-        /// The version.
         version: WeightVersion,
     },
 }
 
 impl RolloutStep {
-    /// The engine that takes the step.
     pub fn engine(&self) -> &EngineId {
         match self {
             RolloutStep::Load { engine, .. } | RolloutStep::Switch { engine, .. } => engine,
@@ -70,8 +63,8 @@
 struct Backoff {
     failures: u32,
     until: Timestamp,
-    /// The source of a load that failed last; it may be what fails.
-    avoid: Option<WeightSource>,
+    /// The source of the last failed load, which may be the cause of the failure.
+    avoided_source: Option<WeightSource>,
 }
 
 /// The rollout of one service's weights.
@@ -79,13 +72,12 @@
 pub struct RolloutPlanner {
     limits: RolloutLimits,
     in_progress: BTreeMap<EngineId, RolloutStep>,
-    /// Loads in progress by source.
+    /// The number of loads in progress by source.
     reads: BTreeMap<WeightSource, usize>,
     backoff: BTreeMap<EngineId, Backoff>,
 }
 
 impl RolloutPlanner {
-    /// A planner with nothing in progress.
     pub fn new(limits: RolloutLimits) -> Self {
         Self {
             limits,
@@ -95,12 +87,11 @@
         }
     }
 
-    /// Changes the bounds after a new configuration.
     pub fn set_limits(&mut self, limits: RolloutLimits) {
         self.limits = limits;
     }
 
-    /// The steps to start now towards `target`. Each one must be ended with
+    /// Returns the steps to start now towards `target`. The caller must end each step with
     /// [`RolloutPlanner::finish`].
     pub fn next_steps(
         &mut self,
@@ -110,7 +101,7 @@
     ) -> Vec<RolloutStep> {
         let mut steps = Vec::new();
         for (id, weights) in engines {
-            if weights.version == target || self.must_wait(now, id) {
+            if weights.version == target || self.is_blocked(now, id) {
                 continue;
             }
             let step = match weights.loaded.contains(&target) {
@@ -128,7 +119,7 @@
         steps
     }
 
-    /// Ends a step.
+    /// Ends the step of an engine. After a failure the engine backs off before its next step.
     pub fn finish(&mut self, now: Timestamp, engine: &EngineId, succeeded: bool) {
         let step = self.in_progress.remove(engine);
         if let Some(RolloutStep::Load { source, .. }) = &step
@@ -143,17 +134,17 @@
         let backoff = self.backoff.entry(engine.clone()).or_insert(Backoff {
             failures: 0,
             until: now,
-            avoid: None,
+            avoided_source: None,
         });
-        let doublings = backoff.failures.min(BACKOFF_DOUBLINGS_LIMIT);
+        let doublings = backoff.failures.min(MAX_BACKOFF_DOUBLINGS);
         backoff.failures += 1;
-        backoff.until = now.after(BACKOFF_FIRST * 2_u32.pow(doublings));
+        backoff.until = now.after(INITIAL_BACKOFF * 2_u32.pow(doublings));
         if let Some(RolloutStep::Load { source, .. }) = step {
-            backoff.avoid = Some(source);
+            backoff.avoided_source = Some(source);
         }
     }
 
-    fn must_wait(&self, now: Timestamp, engine: &EngineId) -> bool {
+    fn is_blocked(&self, now: Timestamp, engine: &EngineId) -> bool {
         let backing_off = self
             .backoff
             .get(engine)
@@ -172,7 +163,7 @@
             .values()
             .filter(|step| matches!(step, RolloutStep::Switch { .. }))
             .count();
-        if switching >= self.switches_allowed(engine_count) {
+        if switching >= self.max_switches(engine_count) {
             return None;
         }
         Some(RolloutStep::Switch {
@@ -181,8 +172,9 @@
         })
     }
 
-    /// At least one, or a service of one engine could never change its weights.
-    fn switches_allowed(&self, engine_count: usize) -> usize {
+    /// Returns the maximum number of concurrent switches. At least one, so that a service
+    /// with one engine can change its weights.
+    fn max_switches(&self, engine_count: usize) -> usize {
         let percent = self.limits.capacity_floor_percent as usize;
         let must_serve = (engine_count * percent).div_ceil(100);
         (engine_count - must_serve).max(1)
@@ -202,8 +194,8 @@
         })
     }
 
-    /// A peer with a free place, else the store; not the source that failed
-    /// last, unless there is no other.
+    /// Returns a peer with a free read slot, or else the store. Skips the source of the last
+    /// failed load unless it is the only one.
     fn free_source(
         &self,
         engine: &EngineId,
@@ -218,15 +210,15 @@
             .collect();
         sources.push(WeightSource::Store);
         let backoff = self.backoff.get(engine);
-        let avoid = backoff.and_then(|backoff| backoff.avoid.as_ref());
+        let avoided_source = backoff.and_then(|backoff| backoff.avoided_source.as_ref());
         let has_choice = sources.len() > 1;
         sources.into_iter().find(|source| {
-            let is_avoided = has_choice && avoid == Some(source);
-            !is_avoided && self.reads_of(source) < self.reads_allowed(source)
+            let is_avoided = has_choice && avoided_source == Some(source);
+            !is_avoided && self.reads_of(source) < self.max_reads(source)
         })
     }
 
-    fn reads_allowed(&self, source: &WeightSource) -> usize {
+    fn max_reads(&self, source: &WeightSource) -> usize {
         match source {
             WeightSource::Store => self.limits.store_reads,
             WeightSource::Peer(_) => self.limits.peer_reads,
--- a/crates/sloetrail-rollout/src/tests.rs
+++ b/crates/sloetrail-rollout/src/tests.rs
@@ -23,8 +23,8 @@
         .collect()
 }
 
-/// Carries a step out; loads and switches all take one round.
-fn carry_out(engines: &mut BTreeMap<EngineId, EngineWeights>, step: &RolloutStep) {
+/// Applies a step. Loads and switches take one round each.
+fn apply(engines: &mut BTreeMap<EngineId, EngineWeights>, step: &RolloutStep) {
     let weights = engines.get_mut(step.engine()).expect("known engine");
     match step {
         RolloutStep::Load { version, .. } => {
@@ -35,14 +35,14 @@
 }
 
 #[test]
-fn the_store_is_read_a_few_times_and_the_rest_spreads_in_a_tree() {
+fn most_engines_load_from_peers() {
     let mut engines = engines(100);
     let mut planner = RolloutPlanner::new(LIMITS);
     let mut store_reads = 0;
     let mut rounds = 0;
     while engines.values().any(|weights| weights.version != NEW) {
         rounds += 1;
-        assert!(rounds < 60, "the rollout ends");
+        assert!(rounds < 60, "the rollout completes within 60 rounds");
         let steps = planner.next_steps(Timestamp(rounds), NEW, &engines);
         for step in &steps {
             store_reads += usize::from(matches!(
@@ -52,7 +52,7 @@
                     ..
                 }
             ));
-            carry_out(&mut engines, step);
+            apply(&mut engines, step);
             planner.finish(Timestamp(rounds), step.engine(), true);
         }
     }
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_failed_step_waits_and_then_goes_to_the_store() {
+fn failed_load_is_retried_from_the_store_after_backoff() {
     let mut engines = engines(2);
     let holder = EngineId::from("engine-000");
     engines.get_mut(&holder).expect("known").loaded.insert(NEW);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_load_that_failed_from_one_peer_goes_to_another() {
+fn failed_load_is_retried_from_another_peer() {
     let mut engines = engines(3);
     for holder in ["engine-000", "engine-001"] {
         let weights = engines.get_mut(&EngineId::from(holder)).expect("known");
@@ -93,7 +93,7 @@
     for _ in 0..2 {
         let steps = planner.next_steps(now, NEW, &engines);
         let [RolloutStep::Load { source, .. }] = steps.as_slice() else {
-            panic!("one load is due: {steps:?}");
+            panic!("expected one load, got {steps:?}");
         };
         sources.push(source.clone());
         planner.finish(now, &waiting, false);
@@ -111,7 +111,7 @@
         ..ProptestConfig::default()
     })]
     #[test]
-    fn the_capacity_floor_holds(count in 1usize..40, floor in 0u32..100, failures in any::<u64>()) {
+    fn switches_never_exceed_the_capacity_floor(count in 1usize..40, floor in 0u32..100, failures in any::<u64>()) {
         let limits = RolloutLimits { capacity_floor_percent: floor, ..LIMITS };
         let mut engines = engines(count);
         let mut planner = RolloutPlanner::new(limits);
@@ -128,7 +128,7 @@
             for (index, step) in steps.iter().enumerate() {
                 let fails = (failures >> ((round + index as u64) % 64)) & 1 == 1;
                 if !fails {
-                    carry_out(&mut engines, step);
+                    apply(&mut engines, step);
                 }
                 planner.finish(now, step.engine(), !fails);
             }
--- a/crates/sloetrail-serving/src/owner/service_owner.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner.rs
@@ -100,15 +100,18 @@
         let all = self.batch.waiting() + self.runs.len();
         OpenItems {
             all,
-            at_a_time: self.estimate.width.map_or(all, |width| width.min(all)),
+            at_a_time: self
+                .estimate
+                .concurrency_limit
+                .map_or(all, |limit| limit.min(all)),
         }
     }
 
-    /// True if the batch runs as many items as its estimated width.
+    /// Returns true if the batch has reached its concurrency limit.
     fn has_enough_runs(&self) -> bool {
         self.estimate
-            .width
-            .is_some_and(|width| self.runs.len() >= width)
+            .concurrency_limit
+            .is_some_and(|limit| self.runs.len() >= limit)
     }
 }
 
--- a/crates/sloetrail-serving/src/owner/service_owner/results.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/results.rs
@@ -189,7 +189,7 @@
         let times = timeline.times(open.opened_at, now);
         let event_interval_us = self.engines.min_event_interval_us().unwrap_or_default();
         let min_time =
-            Duration::from_micros(event_interval_us.saturating_mul(groups.longest() as u64));
+            Duration::from_micros(event_interval_us.saturating_mul(groups.max_events() as u64));
         let age = open.age_at_open + now.saturating_duration_since(open.opened_at);
         events::emit(&Event::StepWhole {
             batch: id,
@@ -205,7 +205,7 @@
             committing_ms: milliseconds(times.committing),
             runs: timeline.runs,
             events_made: timeline.generated_events,
-            longest_events: groups.longest(),
+            longest_events: groups.max_events(),
             least_ms: milliseconds(min_time),
             epoch: self.term.epoch.0,
         });
--- a/crates/sloetrail-types/src/counters.rs
+++ b/crates/sloetrail-types/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters that only grow.
+//! Monotonic counters.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -13,7 +13,6 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The next value.
             #[must_use]
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
@@ -29,7 +28,7 @@
 }
 
 counter_type!(
-    /// The term of a lease; each new holder has a higher one.
+    /// The term of a lease. Each new holder has a higher epoch.
     Epoch
 );
 counter_type!(
@@ -37,18 +36,15 @@
     Revision
 );
 counter_type!(
-    /// The version that the table service gives a row at each write.
+    /// The version that the table service assigns to a row at each write.
     RowVersion
 );
 counter_type!(
-    /// A sample's place in the order in which a run's samples are handed over.
+    /// The position of a sample in the delivery order of its run.
     SequenceNumber
 );
+counter_type!(StepNumber);
 counter_type!(
-    /// A training step.
-    StepNumber
-);
-counter_type!(
-    /// A version of a model's weights; trainers publish ascending ones.
+    /// A version of a model's weights. Trainers publish ascending versions.
     WeightVersion
 );
--- a/crates/sloetrail-types/src/digest.rs
+++ b/crates/sloetrail-types/src/digest.rs
@@ -2,14 +2,14 @@
 
 use xxhash_rust::xxh3::{Xxh3Default, xxh3_64, xxh3_64_with_seed};
 
-/// A 64-bit digest of some bytes. It finds differences, not forgeries.
+/// Returns a 64-bit digest. Not cryptographic.
 pub fn digest(bytes: &[u8]) -> u64 {
     xxh3_64(bytes)
 }
 
-/// A 128-bit digest of some parts, each with its length: parts that are cut differently give
-/// another one. It is long enough to stand for the parts among any number of others, but it
-/// finds no forgeries.
+/// Returns a 128-bit digest of some parts and their lengths, so that the same bytes split
+/// differently have a different digest. Collisions are negligible, but the digest is not
+/// cryptographic.
 pub fn digest_of_parts(parts: &[&[u8]]) -> u128 {
     let mut hasher = Xxh3Default::new();
     for part in parts {
@@ -19,8 +19,8 @@
     hasher.digest128()
 }
 
-/// The weight of `candidate` for `key` in rendezvous hashing: the candidate
-/// with the highest weight is the first choice for the key.
+/// Returns the weight of `candidate` for `key` in rendezvous hashing. The candidate with the
+/// highest weight is the first choice for the key.
 pub fn rendezvous_weight(key: &str, candidate: &str) -> u64 {
     xxh3_64_with_seed(candidate.as_bytes(), xxh3_64(key.as_bytes()))
 }
--- a/crates/sloetrail-types/src/lib.rs
+++ b/crates/sloetrail-types/src/lib.rs
@@ -1,7 +1,7 @@
 //! Identifiers and value types shared by every sloetrail crate.
 //!
-//! Names are opaque strings, counters are newtypes over `u64`, so that a weight
-//! version can never be passed where a configuration revision is meant.
+//! Names are newtypes over opaque strings and counters are newtypes over `u64`,
+//! so that a weight version cannot be passed as a configuration revision.
 
 mod counters;
 mod digest;
--- a/crates/sloetrail-types/src/names.rs
+++ b/crates/sloetrail-types/src/names.rs
@@ -1,4 +1,4 @@
-//! String identifiers.
+//! String identifiers as newtypes.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -11,12 +11,10 @@
         pub struct $name(String);
 
         impl $name {
-            /// Wraps a string as this kind of name.
             pub fn new(text: impl Into<String>) -> Self {
                 Self(text.into())
             }
 
-            /// The name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -41,49 +39,46 @@
     ServiceName
 );
 name_type!(
-    /// A training run, which submits and pulls samples.
+    /// A training run, whose trainer submits and pulls samples.
     RunName
 );
 name_type!(
-    /// One life of a node process; a replacement has another id.
+    /// An incarnation of a node process. A restarted node has another id.
     NodeId
 );
 name_type!(
-    /// One life of an engine process.
+    /// An incarnation of an engine process.
     EngineId
 );
+name_type!(ZoneName);
 name_type!(
-    /// A failure zone.
-    ZoneName
-);
-name_type!(
-    /// A region: zones that are near one another.
+    /// A region, which groups nearby zones.
     RegionName
 );
 name_type!(
-    /// A trainer's name for a sample, unique within its run.
+    /// A sample, named by the trainer. Unique within its run.
     SampleId
 );
 name_type!(
-    /// One attempt at a request, named by the node that sends it.
+    /// An attempt at a request, named by the sending node.
     RequestId
 );
 name_type!(
-    /// One configuration apply, named by the operator's client.
+    /// A configuration apply, named by the operator's client.
     ApplyId
 );
 name_type!(
-    /// A tenant of the operators, to which callers belong.
+    /// A tenant, to which callers belong.
     TenantName
 );
 name_type!(
-    /// One transaction on the table service, named by its writer.
+    /// A transaction on the table service, named by its writer.
     TransactionId
 );
 
 impl EngineId {
-    /// The life of an engine that calls itself `instance`, which began at `started_ms` by its own
-    /// wall clock. An engine that does not tell when it started has another name each time.
+    /// Returns the id of an engine incarnation from its instance name and its start time on its
+    /// own wall clock. An engine that reports no start time must use a new name at each start.
     pub fn of_incarnation(instance: &str, started_ms: Option<u64>) -> Self {
         match started_ms {
             Some(started_ms) => Self(format!("{instance}@{started_ms}")),
--- a/crates/sloetrail-types/src/regions.rs
+++ b/crates/sloetrail-types/src/regions.rs
@@ -1,18 +1,17 @@
-//! Where things are: zones in regions, and the regions in which work may be done.
+//! Zones, regions, and restrictions of work to regions.
 
 use crate::{RegionName, ZoneName};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{self, Display, Formatter};
 
-/// How far something is from a node. Nearer ones are less.
+/// The distance from a node. Nearer compares as less.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
-    /// In the node's own zone.
+    /// The node's own zone.
     SameZone,
-    /// In another zone of its region.
+    /// Another zone of the node's region.
     SameRegion,
-    /// In another region.
     Elsewhere,
 }
 
@@ -24,43 +23,42 @@
 }
 
 impl Topology {
-    /// A deployment with this zone of the node, and the region of each zone. Without any,
-    /// all zones count as one region.
+    /// Creates the topology as seen from a node in `zone`, with the region of each zone. If
+    /// `regions` is empty, all zones count as one region.
     pub fn new(zone: ZoneName, regions: BTreeMap<ZoneName, RegionName>) -> Self {
         Self { zone, regions }
     }
 
-    /// A deployment without regions.
+    /// Creates a topology without regions.
     pub fn of_zone(zone: ZoneName) -> Self {
         Self::new(zone, BTreeMap::new())
     }
 
-    /// True if the deployment has regions; otherwise all zones count as one.
+    /// Returns false if no regions are configured and all zones count as one.
     pub fn has_regions(&self) -> bool {
         !self.regions.is_empty()
     }
 
-    /// The node's own zone.
     pub fn zone(&self) -> &ZoneName {
         &self.zone
     }
 
-    /// The region of a zone; nothing if it is not known.
+    /// Returns the region of a zone, or None if it is unknown.
     pub fn region_of(&self, zone: &ZoneName) -> Option<&RegionName> {
         self.regions.get(zone)
     }
 
-    /// The node's own region; nothing if it is not known.
+    /// Returns the node's own region, or None if it is unknown.
     pub fn own_region(&self) -> Option<&RegionName> {
         self.region_of(&self.zone)
     }
 
-    /// How far a zone is from the node.
+    /// Returns the distance of a zone from the node.
     pub fn distance(&self, zone: &ZoneName) -> Distance {
         self.distance_to(zone, self.region_of(zone))
     }
 
-    /// How far something is from the node that tells its own zone and region.
+    /// Returns the distance from the node to a process that reports its zone and region.
     pub fn distance_to(&self, zone: &ZoneName, region: Option<&RegionName>) -> Distance {
         if *zone == self.zone {
             Distance::SameZone
@@ -71,7 +69,7 @@
         }
     }
 
-    /// True if work that is bound to regions may be done in a zone.
+    /// Returns true if the zone's region is allowed.
     pub fn allows(&self, allowed: &AllowedRegions, zone: &ZoneName) -> bool {
         allowed.allows(self.region_of(zone))
     }
@@ -81,26 +79,26 @@
     }
 }
 
-/// The regions in which work may be done.
+/// The regions in which work may run.
 ///
-/// Invariant: a restriction is never widened; what both of two restrictions allow is their
-/// [`AllowedRegions::and`].
+/// Invariant: a restriction is never widened. [`AllowedRegions::and`] returns the
+/// intersection of two restrictions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct AllowedRegions(Option<BTreeSet<RegionName>>);
 
 impl AllowedRegions {
-    /// Work that may be done anywhere.
+    /// Allows all regions.
     pub fn everywhere() -> Self {
         Self(None)
     }
 
-    /// Work that may be done in these regions only; in none if there are none.
+    /// Allows only these regions. An empty set allows none.
     pub fn only(regions: impl IntoIterator<Item = RegionName>) -> Self {
         Self(Some(regions.into_iter().collect()))
     }
 
-    /// What both allow.
+    /// Returns the regions that both allow.
     #[must_use]
     pub fn and(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
@@ -110,7 +108,7 @@
         }
     }
 
-    /// True if a region is allowed. One that is not known is allowed only where all are.
+    /// Returns true if a region is allowed. An unknown region is allowed only if all are.
     pub fn allows(&self, region: Option<&RegionName>) -> bool {
         match (&self.0, region) {
             (None, _) => true,
@@ -119,23 +117,23 @@
         }
     }
 
-    /// True if the work may be done anywhere.
+    /// Returns true if all regions are allowed.
     pub fn is_everywhere(&self) -> bool {
         self.0.is_none()
     }
 
-    /// True if there is no region in which the work may be done.
+    /// Returns true if no region is allowed.
     pub fn is_nowhere(&self) -> bool {
         self.0.as_ref().is_some_and(BTreeSet::is_empty)
     }
 
-    /// The regions by name, if the work is bound to some.
+    /// Returns the allowed regions in order of name. Empty if all or none are allowed.
     pub fn names(&self) -> impl Iterator<Item = &RegionName> {
         self.0.iter().flatten()
     }
 }
 
-/// The regions joined by plus signs; `everywhere` or `nowhere` where there is none to name.
+/// Formats as region names joined by `+`, or as `everywhere` or `nowhere`.
 impl Display for AllowedRegions {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         if self.is_everywhere() {
--- a/crates/sloetrail-types/src/regions/tests.rs
+++ b/crates/sloetrail-types/src/regions/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn zones_of_the_own_region_are_nearer_than_others() {
+fn zones_of_the_own_region_are_nearer() {
     let topology = topology();
     let distance = |zone| topology.distance(&ZoneName::from(zone));
     assert_eq!(distance("a1"), Distance::SameZone);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn without_regions_all_zones_lie_in_one() {
+fn zones_without_regions_count_as_one_region() {
     let topology = Topology::of_zone(ZoneName::from("a1"));
     let distance = topology.distance(&ZoneName::from("a2"));
     assert_eq!(distance, Distance::SameRegion);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn two_restrictions_allow_what_both_allow() {
+fn restrictions_combine_by_intersection() {
     let both = only(&["a", "b"]).and(&only(&["b", "c"]));
     assert_eq!(both, only(&["b"]));
     assert_eq!(AllowedRegions::everywhere().and(&both), both);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_place_whose_region_is_not_known_is_allowed_only_where_all_are() {
+fn unknown_region_is_allowed_only_without_restriction() {
     assert!(AllowedRegions::everywhere().allows(None));
     assert!(!only(&["a"]).allows(None));
     assert!(topology().allows(&only(&["b"]), &ZoneName::from("b1")));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn regions_are_shown_in_one_order_whatever_order_they_were_given_in() {
+fn regions_are_displayed_in_sorted_order() {
     assert_eq!(only(&["b", "a"]).to_string(), "a+b");
     assert_eq!(AllowedRegions::everywhere().to_string(), "everywhere");
     assert_eq!(only(&[]).to_string(), "nowhere");
--- a/crates/sloetrail-types/src/segment.rs
+++ b/crates/sloetrail-types/src/segment.rs
@@ -1,27 +1,26 @@
-//! Which weights produced which tokens.
+//! The weight version of each token of a sample.
 
 use crate::{EngineId, WeightVersion};
 use serde::{Deserialize, Serialize};
 
-/// A stretch of a sample's tokens that one engine produced with one version.
+/// Consecutive tokens of a sample that one engine generated with one weight version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
-    /// The engine that stamped the tokens.
     pub engine: EngineId,
-    /// The version that the engine stamped on them.
+    /// The version reported by the engine.
     pub version: WeightVersion,
-    /// Index of the first token of the stretch, counted from zero.
+    /// The zero-based index of the first token.
     pub first_token: u32,
-    /// Index of the last token of the stretch, included.
+    /// The zero-based index of the last token, inclusive.
     pub last_token: u32,
 }
 
-/// The lowest version among the segments, if there is one.
+/// Returns the lowest version of the segments, or None if there are no segments.
 pub fn oldest_version(segments: &[Segment]) -> Option<WeightVersion> {
     segments.iter().map(|segment| segment.version).min()
 }
 
-/// True if the segments follow one another from token zero to `token_count - 1`.
+/// Returns true if the segments are contiguous from token 0 to `token_count - 1`.
 pub fn segments_cover(segments: &[Segment], token_count: u32) -> bool {
     let mut next_token = 0;
     for segment in segments {
--- a/crates/sloetrail-types/src/tests.rs
+++ b/crates/sloetrail-types/src/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn segments_must_join_without_gap_or_overlap() {
+fn segments_cover_tokens_without_gap_or_overlap() {
     assert!(segments_cover(&[segment(1, 0, 4), segment(2, 5, 9)], 10));
     assert!(!segments_cover(&[segment(1, 0, 4), segment(2, 6, 9)], 10));
     assert!(!segments_cover(&[segment(1, 0, 5), segment(2, 5, 9)], 10));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_oldest_version_counts() {
+fn oldest_version_is_the_minimum_of_the_segments() {
     assert_eq!(
         oldest_version(&[segment(3, 0, 1), segment(2, 2, 3)]),
         Some(WeightVersion(2))
@@ -28,17 +28,17 @@
 }
 
 #[test]
-fn time_does_not_go_back() {
+fn elapsed_time_is_never_negative() {
     assert_eq!(Timestamp(5).since(Timestamp(9)), Duration::ZERO);
     assert_eq!(Timestamp(9).since(Timestamp(5)), Duration::from_millis(4));
 }
 
 #[test]
-fn a_digest_of_parts_tells_where_they_are_cut() {
+fn digest_of_parts_depends_on_part_boundaries() {
     use crate::digest_of_parts;
-    let whole = digest_of_parts(&[b"ab", b"c"]);
-    assert_eq!(whole, digest_of_parts(&[b"ab", b"c"]));
-    assert_ne!(whole, digest_of_parts(&[b"a", b"bc"]));
-    assert_ne!(whole, digest_of_parts(&[b"abc"]));
-    assert_ne!(whole, digest_of_parts(&[b"ab", b"c", b""]));
+    let expected = digest_of_parts(&[b"ab", b"c"]);
+    assert_eq!(expected, digest_of_parts(&[b"ab", b"c"]));
+    assert_ne!(expected, digest_of_parts(&[b"a", b"bc"]));
+    assert_ne!(expected, digest_of_parts(&[b"abc"]));
+    assert_ne!(expected, digest_of_parts(&[b"ab", b"c", b""]));
 }
--- a/crates/sloetrail-types/src/time.rs
+++ b/crates/sloetrail-types/src/time.rs
@@ -1,9 +1,9 @@
-//! Time as the decision logic sees it.
+//! Timestamps for decision logic, independent of any clock.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Milliseconds since an origin of the caller's choice, never going back.
+/// Milliseconds since an origin chosen by the caller. Never decreases.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -11,12 +11,12 @@
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
-    /// The time that has passed since `earlier`, zero if `earlier` is later.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// This time and `duration` more.
+    /// Returns the timestamp `duration` later, in whole milliseconds.
     #[must_use]
     pub fn after(self, duration: Duration) -> Self {
         Self(self.0 + duration.as_millis() as u64)
--- a/crates/sloetrail-types/src/urgency.rs
+++ b/crates/sloetrail-types/src/urgency.rs
@@ -1,18 +1,18 @@
-//! Which kind of work goes first.
+//! The priority order of work.
 
-/// The rank of work: that of its tenant, where it has one, goes before that of its route.
-/// Zero is the most urgent, and the most urgent work is the least in this order.
+/// The priority of work. The tenant's priority, if set, overrides the route's, which then
+/// breaks ties. Zero is the most urgent, and more urgent work compares as less.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency {
-    rank: u8,
+    priority: u8,
     route: u8,
 }
 
 impl Urgency {
-    /// The rank of work of a route for a tenant, which may have a rank of its own.
+    /// Creates the urgency from the priorities of the tenant, if set, and of the route.
     pub fn new(tenant: Option<u8>, route: u8) -> Self {
         Self {
-            rank: tenant.unwrap_or(route),
+            priority: tenant.unwrap_or(route),
             route,
         }
     }
