--- a/crates/sloetrail-serving/src/node.rs
+++ b/crates/sloetrail-serving/src/node.rs
@@ -163,7 +163,7 @@
         }
         if let Some(usage) = &self.context.usage {
             // Counts that cannot be written in time are lost, as when the node is killed.
-            let _ = tokio::time::timeout(USAGE_FLUSH_TIMEOUT, usage.hand_over()).await;
+            let _ = tokio::time::timeout(USAGE_FLUSH_TIMEOUT, usage.flush()).await;
         }
         events::emit(&Event::NodeStopped {
             requests: self.callers.requests(),
@@ -402,10 +402,10 @@
         back_ends_listed: directory.total_rows,
         directory_age: age(*context.directory_applied.borrow()),
         operator_age: age(*context.operator_applied.borrow()),
-        zones: context.zone_work.evacuated(),
+        zones: context.zone_work.evacuated_zones(),
         zones_evacuated: context.in_force.borrow().evacuations.count(),
         back_ends_cold: directory.cold_count(BootInstant::now()),
-        requests_quarantined: context.quarantine.assessment().held().count(),
+        requests_quarantined: context.quarantine.assessment().quarantined().count(),
         lease_view_age: context.leases.borrow().age(BootInstant::now()),
         requests: callers.requests(),
         connections: callers.connections(),
--- a/crates/sloetrail-serving/src/owner/service_owner.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner.rs
@@ -93,14 +93,17 @@
             let run: Option<&ActiveRun> = runs.get(&index);
             run.map_or(0, |run| run.progress.event_count())
         };
-        self.estimate = self.batch.outlook(lengths, self.age(), generated);
+        self.estimate = self.batch.estimate(lengths, self.age(), generated);
     }
 
     fn items(&self) -> OpenItems {
         let all = self.batch.waiting() + self.runs.len();
         OpenItems {
             all,
-            max_concurrent: self.estimate.width.map_or(all, |width| width.min(all)),
+            max_concurrent: self
+                .estimate
+                .concurrency_limit
+                .map_or(all, |limit| limit.min(all)),
         }
     }
 
--- a/crates/sloetrail-serving/tests/crash_log.rs
+++ b/crates/sloetrail-serving/tests/crash_log.rs
@@ -41,7 +41,7 @@
     };
     let (status, ()) = tokio::join!(send_request(&cluster, "r1", BODY), resetting);
     assert_eq!(status, 502, "a lost request may have run");
-    let lost = || async { reader.told("attempt_failed").pop() };
+    let lost = || async { reader.decisions("attempt_failed").pop() };
     let first = eventually("the lost attempt is logged", lost).await;
     assert_eq!(first["outcome"], "lost");
     tokio::time::sleep(Duration::from_millis(200)).await;
