--- a/crates/sloetrail-serving-testkit/src/engine/connection.rs
+++ b/crates/sloetrail-serving-testkit/src/engine/connection.rs
@@ -126,11 +126,7 @@
         id: &str,
     ) -> Option<Result<Response<EngineBody>, io::Error>> {
         let answer = match fault {
-            EngineFault::AnswerLost => {
-                return Some(Err(io::Error::other(
-                    "fault: connection closed without a response",
-                )));
-            }
+            EngineFault::AnswerLost => return Some(Err(io::Error::other("fault: response lost"))),
             EngineFault::Silent => std::future::pending().await,
             EngineFault::OutOfTime => self.signed(StatusCode::GATEWAY_TIMEOUT, id),
             EngineFault::Overloaded => self.signed(StatusCode::TOO_MANY_REQUESTS, id),
