--- a/crates/sloetrail-balance/src/tests/slot_queue.rs
+++ b/crates/sloetrail-balance/src/tests/slot_queue.rs
@@ -175,10 +175,10 @@
     let tickets: Vec<SlotTicket> = (0..WAITING)
         .map(|_| join(&mut queue, &without_tenant))
         .collect();
-    let began = Instant::now();
+    let started_at = Instant::now();
     for ticket in tickets {
         assert_eq!(queue.requests_ahead(&without_tenant, Some(ticket)), 0);
     }
-    let elapsed = began.elapsed();
+    let elapsed = started_at.elapsed();
     assert!(elapsed < Duration::from_secs(1), "{elapsed:?}");
 }
--- a/crates/sloetrail-batch/src/batch_estimate.rs
+++ b/crates/sloetrail-batch/src/batch_estimate.rs
@@ -1,9 +1,9 @@
 //! Estimates the remaining work of a batch: its critical items and its concurrency limit.
 //!
-//! A batch ends when its longest text ends. Starting all items at once does not end
-//! it earlier, but occupies a slot and a connection for each item. The number of items in
-//! flight is therefore limited so that the shorter texts end together with the longest. A
-//! margin covers errors of the hints, and the limit is lifted at a maximum batch age.
+//! A batch ends when its longest text ends. Starting all items at once does not end it earlier,
+//! but occupies a slot and a connection for each item. The number of items in flight is therefore
+//! limited so that the shorter texts end together with the longest. A margin covers errors of the
+//! hints, and the limit is lifted at a maximum batch age.
 
 use crate::{Batch, Item, ItemIndex, ItemState, LengthModel};
 use std::time::Duration;
--- a/crates/sloetrail-batch/src/checkpoint.rs
+++ b/crates/sloetrail-batch/src/checkpoint.rs
@@ -42,7 +42,7 @@
             segments: segments_of(&self.events),
         };
         let mut encoded = Vec::new();
-        ciborium::into_writer(&stored, &mut encoded).expect("writing to memory cannot fail");
+        ciborium::into_writer(&stored, &mut encoded).expect("writing to a Vec cannot fail");
         Bytes::from(encoded)
     }
 
--- a/crates/sloetrail-batch/src/result.rs
+++ b/crates/sloetrail-batch/src/result.rs
@@ -76,7 +76,7 @@
     /// Encodes the result and splits it into rows of at most `row_bytes`.
     pub fn to_rows(&self, row_bytes: usize) -> Vec<Bytes> {
         let mut encoded = Vec::new();
-        ciborium::into_writer(self, &mut encoded).expect("writing to memory cannot fail");
+        ciborium::into_writer(self, &mut encoded).expect("writing to a Vec cannot fail");
         let encoded = Bytes::from(encoded);
         let cuts = (0..encoded.len()).step_by(row_bytes);
         cuts.map(|start| encoded.slice(start..encoded.len().min(start + row_bytes)))
--- a/crates/sloetrail-batch/src/segment.rs
+++ b/crates/sloetrail-batch/src/segment.rs
@@ -13,7 +13,6 @@
     /// The version reported by the engine. None if it reported none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<WeightVersion>,
-    /// The number of events.
     pub events: usize,
 }
 
--- a/crates/sloetrail-batch/src/segment/tests.rs
+++ b/crates/sloetrail-batch/src/segment/tests.rs
@@ -34,7 +34,7 @@
 
 fn stored(value: &impl Serialize) -> Vec<u8> {
     let mut encoded = Vec::new();
-    ciborium::into_writer(value, &mut encoded).expect("writing to memory cannot fail");
+    ciborium::into_writer(value, &mut encoded).expect("writing to a Vec cannot fail");
     encoded
 }
 
--- a/crates/sloetrail-quarantine/src/digest.rs
+++ b/crates/sloetrail-quarantine/src/digest.rs
@@ -37,9 +37,9 @@
             hasher.update((part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
-        let whole = hasher.finalize();
+        let hash = hasher.finalize();
         let mut first = [0; 16];
-        first.copy_from_slice(&whole[..16]);
+        first.copy_from_slice(&hash[..16]);
         Self(u128::from_be_bytes(first))
     }
 
--- a/crates/sloetrail-scaling/src/scaler.rs
+++ b/crates/sloetrail-scaling/src/scaler.rs
@@ -35,7 +35,6 @@
     /// Engines that take work.
     pub engines: usize,
     pub slots_per_engine: usize,
-    /// Number of zones.
     pub zones: usize,
 }
 
--- a/crates/sloetrail-serving-testkit/src/engine/records.rs
+++ b/crates/sloetrail-serving-testkit/src/engine/records.rs
@@ -32,7 +32,6 @@
 /// A generated event of an item.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EventRecord {
-    /// The id of the item.
     pub id: String,
     pub number: u64,
     /// The weight version that generated it.
--- a/crates/sloetrail-serving-testkit/src/supply.rs
+++ b/crates/sloetrail-serving-testkit/src/supply.rs
@@ -15,7 +15,7 @@
     pub at: Instant,
 }
 
-/// Records orders and accepts them unless told otherwise.
+/// Records orders and accepts them by default.
 pub struct SupplyRecorder {
     state: Mutex<State>,
 }
--- a/crates/sloetrail-serving-testkit/src/usage.rs
+++ b/crates/sloetrail-serving-testkit/src/usage.rs
@@ -28,7 +28,7 @@
     pub sender: LeaseHolder,
     pub at: Instant,
     /// True if the report was accepted.
-    pub taken: bool,
+    pub accepted: bool,
 }
 
 /// Records reports and accepts them, subject to the current fault.
@@ -63,10 +63,10 @@
     /// # Panics
     ///
     /// If two accepted reports of one window differ.
-    pub fn taken(&self) -> BTreeMap<WindowNumber, UsageReport> {
-        let mut taken = BTreeMap::new();
-        for record in self.records().into_iter().filter(|record| record.taken) {
-            let before = taken.insert(record.report.window, record.report.clone());
+    pub fn accepted(&self) -> BTreeMap<WindowNumber, UsageReport> {
+        let mut accepted = BTreeMap::new();
+        for record in self.records().into_iter().filter(|record| record.accepted) {
+            let before = accepted.insert(record.report.window, record.report.clone());
             if let Some(before) = before {
                 assert_eq!(
                     before, record.report,
@@ -74,13 +74,13 @@
                 );
             }
         }
-        taken
+        accepted
     }
 
     /// Requests of a tenant in all accepted reports.
     pub fn requests_of(&self, tenant: &str) -> u64 {
-        let taken = self.taken();
-        let of_tenant = taken.values().filter_map(|report| {
+        let accepted = self.accepted();
+        let of_tenant = accepted.values().filter_map(|report| {
             let counts = report.counts.iter();
             let mut of_tenant = counts.filter(|(name, _)| name.as_str() == tenant);
             of_tenant.next().map(|(_, count)| *count)
@@ -103,12 +103,12 @@
     ) -> ReportAnswer {
         let mut state = self.state();
         let fault = state.fault;
-        let taken = matches!(fault, ReportFault::None | ReportFault::AcceptedUnanswered);
+        let accepted = matches!(fault, ReportFault::None | ReportFault::AcceptedUnanswered);
         state.records.push(ReportRecord {
             report: report.clone(),
             sender: holder.clone(),
             at: Instant::now(),
-            taken,
+            accepted,
         });
         match fault {
             ReportFault::None => ReportAnswer::Accepted,
--- a/crates/sloetrail-serving-testkit/src/wire.rs
+++ b/crates/sloetrail-serving-testkit/src/wire.rs
@@ -19,11 +19,9 @@
 /// The engine side of a dialect.
 pub trait EngineWire: Send + Sync {
     fn headers(&self) -> HeaderNames;
-    /// The path of the status endpoint.
     fn status_path(&self) -> String;
     /// The body of a status response.
     fn status(&self, versions: &BTreeMap<String, u64>, busy: bool, orders_taken: u64) -> Value;
-    /// The path of the order endpoint.
     fn order_path(&self) -> String;
     /// Parses an order. None if it is malformed.
     fn order(&self, body: &[u8]) -> Option<ReadOrder>;
@@ -49,7 +47,6 @@
     pub cold_left_ms: u64,
     /// The weight version of each model.
     pub versions: BTreeMap<String, u64>,
-    /// The software version.
     pub software: String,
     /// Start of this incarnation in Unix milliseconds.
     pub started_ms: u64,
--- a/crates/sloetrail-serving/src/gateway/call_handler.rs
+++ b/crates/sloetrail-serving/src/gateway/call_handler.rs
@@ -181,7 +181,6 @@
         }
     }
 
-    /// Answers a live request.
     async fn answer_live(
         &self,
         log: &CallLog<'_>,
--- a/crates/sloetrail-serving/src/gateway/call_log.rs
+++ b/crates/sloetrail-serving/src/gateway/call_log.rs
@@ -10,7 +10,6 @@
 /// Data about a call in progress for its log event and metrics.
 pub(crate) struct CallLog<'a> {
     pub(crate) configuration: &'a ServingConfiguration,
-    /// The request ID.
     pub(crate) request: &'a str,
     /// The route's name, or `-` if no route matches.
     pub(crate) route: &'a str,
--- a/crates/sloetrail-serving/src/gateway/claims/record.rs
+++ b/crates/sloetrail-serving/src/gateway/claims/record.rs
@@ -106,7 +106,7 @@
 
     pub(super) fn encode(&self) -> Bytes {
         let mut encoded = Vec::new();
-        ciborium::into_writer(self, &mut encoded).expect("writing to memory does not fail");
+        ciborium::into_writer(self, &mut encoded).expect("writing to a Vec cannot fail");
         Bytes::from(encoded)
     }
 
--- a/crates/sloetrail-serving/src/gateway/live.rs
+++ b/crates/sloetrail-serving/src/gateway/live.rs
@@ -53,7 +53,6 @@
     pub(crate) deadline: BootInstant,
 }
 
-/// The outcome of a live request.
 pub(crate) struct LiveOutcome {
     /// The answer to forward, or the node's own error.
     pub(crate) answer: Result<CompleteAnswer, Problem>,
--- a/crates/sloetrail-serving/src/gateway/read.rs
+++ b/crates/sloetrail-serving/src/gateway/read.rs
@@ -103,7 +103,6 @@
 /// Outcome of one read of further results.
 enum PollOutcome {
     Answered(Vec<ListedResult>),
-    /// The read failed.
     Failed,
     /// The read had not completed by its deadline.
     TimedOut,
--- a/crates/sloetrail-serving/src/gateway/submit.rs
+++ b/crates/sloetrail-serving/src/gateway/submit.rs
@@ -57,7 +57,6 @@
     regions: AllowedRegions,
 }
 
-/// A submission of a batch.
 pub(crate) struct SubmissionCall<'a> {
     pub(crate) configuration: &'a ServingConfiguration,
     pub(crate) route: &'a Route,
--- a/crates/sloetrail-serving/src/http/connections.rs
+++ b/crates/sloetrail-serving/src/http/connections.rs
@@ -51,7 +51,6 @@
     NoHeadInTime,
     /// The request was cancelled before any byte of the response arrived.
     AbandonedBeforeHead,
-    /// The response body stalled.
     StalledBody,
     /// A long poll was pending while other connections to the address proved unresponsive.
     LongPoll,
--- a/crates/sloetrail-serving/src/leases/resource.rs
+++ b/crates/sloetrail-serving/src/leases/resource.rs
@@ -8,7 +8,6 @@
 /// A resource owned by one node at a time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum LeaseResource {
-    /// The batches of one set.
     Batches(BatchSet),
     /// The reports of tenants' usage.
     UsageReports,
--- a/crates/sloetrail-serving/src/node.rs
+++ b/crates/sloetrail-serving/src/node.rs
@@ -67,7 +67,6 @@
     pub engine_supply: Option<Arc<dyn EngineSupply>>,
 }
 
-/// A running node.
 pub struct ServingNode {
     context: Arc<NodeContext>,
     callers: ConnectionTracker,
--- a/crates/sloetrail-serving/src/owner/batch_scheduler/tests.rs
+++ b/crates/sloetrail-serving/src/owner/batch_scheduler/tests.rs
@@ -107,14 +107,14 @@
         .map(|(number, tenant)| (number.to_string(), header(tenant, 5, number)))
         .collect();
     let mut shares = TenantShares::default();
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut checks = 0;
     let batches = headers.iter().map(|(id, header)| (id, header));
     BatchScheduler::new(&mut shares, batches).run(|_| {
         checks += 1;
         false
     });
-    let elapsed = began.elapsed();
+    let elapsed = started_at.elapsed();
     assert_eq!(checks, BATCHES);
     assert!(elapsed < Duration::from_secs(1), "{elapsed:?}");
 }
--- a/crates/sloetrail-serving/src/owner/committer.rs
+++ b/crates/sloetrail-serving/src/owner/committer.rs
@@ -19,7 +19,6 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// A request to the committer.
 pub(super) enum CommitRequest {
     /// Registers a batch. Must precede its results.
     OpenBatch {
--- a/crates/sloetrail-serving/src/owner/engines/tests/orders.rs
+++ b/crates/sloetrail-serving/src/owner/engines/tests/orders.rs
@@ -71,9 +71,9 @@
 fn min_duration(work: impl Fn()) -> Duration {
     const RUNS: usize = 8;
     let times = (0..RUNS).map(|_| {
-        let began = std::time::Instant::now();
+        let started_at = std::time::Instant::now();
         work();
-        began.elapsed()
+        started_at.elapsed()
     });
     times.min().expect("at least one run")
 }
--- a/crates/sloetrail-serving/src/owner/mod.rs
+++ b/crates/sloetrail-serving/src/owner/mod.rs
@@ -4,9 +4,9 @@
 //! The node that holds the lease of a [`BatchSet`] ([`crate::leases`]) runs a
 //! [`service_owner::ServiceOwner`]. It loads open batches from the table, sends items to engines
 //! ([`run`]), has complete texts scored ([`reward_queue`], [`reward`]), commits results in
-//! groups ([`committer`]) and brings engines to the published weight versions ([`weight_update_plan`],
-//! [`order_task`]). Only the owner of unbound batches sends orders to engines; the other owners
-//! report their slot demand to it ([`slot_demand`]).
+//! groups ([`committer`]) and brings engines to the published weight versions
+//! ([`weight_update_plan`], [`order_task`]). Only the owner of unbound batches sends orders to
+//! engines; the other owners report their slot demand to it ([`slot_demand`]).
 
 mod assignment;
 mod batch_scheduler;
--- a/crates/sloetrail-serving/src/owner/run.rs
+++ b/crates/sloetrail-serving/src/owner/run.rs
@@ -212,12 +212,12 @@
     async fn open(&self, due: BootInstant) -> Result<Exchange, RunOutcome> {
         let names = self.spec.context.dialect.headers();
         let outgoing = self.outgoing();
-        let began = BootInstant::now();
+        let started_at = BootInstant::now();
         let reuse = Reuse::Within(EVENT_TIMEOUT);
         let mut sent = self.send(&outgoing, reuse, due).await?;
         if matches!(sent, Err(SendFailure::ConnectionUnresponsive)) && self.may_send_again() {
             sent = self
-                .send(&outgoing, reuse.after_attempt_at(began), due)
+                .send(&outgoing, reuse.after_attempt_at(started_at), due)
                 .await?;
         }
         let exchange = sent.map_err(|failure| run_outcome(&classify_failure(failure)))?;
--- a/crates/sloetrail-serving/src/owner/service_owner.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner.rs
@@ -269,7 +269,7 @@
         self.cancel_runs();
         self.checkpoint_texts();
         drop(self.commits);
-        // The lease keeper bounds the wait. After a lost term nothing can be committed.
+        // The lease manager bounds the wait. After a lost term nothing can be committed.
         let _ = self.committing.await;
     }
 
--- a/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/dispatch.rs
@@ -36,8 +36,8 @@
         for required in [true, false] {
             let open = self.batches.iter();
             let headers = open.map(|(id, open)| (id, &open.batch.header));
-            let turns = BatchScheduler::new(&mut shares, headers);
-            turns.run(|id| self.start_next_item(id, required));
+            let scheduler = BatchScheduler::new(&mut shares, headers);
+            scheduler.run(|id| self.start_next_item(id, required));
         }
         if self.batches.is_empty() {
             shares.forget_idle();
@@ -68,7 +68,7 @@
         if next.is_none_or(|index| open.batch.is_required(index) != required) {
             return false;
         }
-        let demand = ModelRequirement {
+        let requirement = ModelRequirement {
             model: open.batch.model.as_deref(),
             oldest_version: open.batch.oldest_version,
         };
@@ -76,7 +76,9 @@
         let connections = &self.context.connections;
         let is_connected = |back_end: &BackEnd| connections.has_idle(back_end);
         let now = BootInstant::now();
-        let picked = self.engines.pick(demand, now, preference, is_connected);
+        let picked = self
+            .engines
+            .pick(requirement, now, preference, is_connected);
         let Some(engine_id) = picked else {
             return false;
         };
--- a/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/relocation.rs
@@ -57,14 +57,14 @@
     /// from the text so far.
     pub(super) fn move_from_slow_engines(&mut self, now: BootInstant) {
         for open in self.batches.values() {
-            let demand = ModelRequirement {
+            let requirement = ModelRequirement {
                 model: open.batch.model.as_deref(),
                 oldest_version: open.batch.oldest_version,
             };
             if open.batch.waiting() > 0 {
                 continue;
             }
-            let mut slots = self.engines.free_fast_slots(demand, now);
+            let mut slots = self.engines.free_fast_slots(requirement, now);
             for run in open.runs.values() {
                 let engine = self.engines.get(&run.engine);
                 let is_slow = engine.is_some_and(|engine| engine.is_slow());
@@ -83,11 +83,11 @@
             return;
         }
         for (id, open) in &mut self.batches {
-            let demand = ModelRequirement {
+            let requirement = ModelRequirement {
                 model: open.batch.model.as_deref(),
                 oldest_version: open.batch.oldest_version,
             };
-            let mut free = self.engines.free_engines(demand, now).into_iter();
+            let mut free = self.engines.free_engines(requirement, now).into_iter();
             let runs = open.runs.iter();
             let mut candidates: Vec<Candidate> = runs
                 .filter_map(|(index, run)| {
@@ -131,14 +131,14 @@
         let Some(open) = self.batches.get(id) else {
             return;
         };
-        let demand = ModelRequirement {
+        let requirement = ModelRequirement {
             model: open.batch.model.as_deref(),
             oldest_version: open.batch.oldest_version,
         };
         let required = open.batch.is_required(index);
         let target = self.engines.get(&engine);
         // If the target cannot take the item, it waits in the queue for any engine.
-        if target.is_some_and(|engine| engine.can_take(demand, BootInstant::now())) {
+        if target.is_some_and(|engine| engine.can_take(requirement, BootInstant::now())) {
             let priority = self.priority(required);
             self.start_item_on(id, index, engine, priority);
             self.mark_moved(id, index);
--- a/crates/sloetrail-serving/src/owner/service_owner/scoring.rs
+++ b/crates/sloetrail-serving/src/owner/service_owner/scoring.rs
@@ -19,20 +19,20 @@
             self.list_as_succeeded(id, index, None);
             return;
         };
-        let lane = reward::scoring_target(&self.context, call, &header.allowed_regions);
+        let target = reward::scoring_target(&self.context, call, &header.allowed_regions);
         let rank = Rank {
             is_optional: !open.batch.is_in_required_group(index),
             batch: header.urgency(),
         };
         self.rewards
-            .push(ScoringTask::new(id.clone(), index, lane, rank));
+            .push(ScoringTask::new(id.clone(), index, target, rank));
     }
 
     /// Starts scoring queued texts while slots are free.
     pub(super) fn start_scorings(&mut self) {
         let context = Arc::clone(&self.context);
-        let slots = |lane: &ScoringTarget| match &lane.service {
-            Some(service) => context.pools.sample_slots(service, &lane.regions),
+        let slots = |target: &ScoringTarget| match &target.service {
+            Some(service) => context.pools.sample_slots(service, &target.regions),
             None => 0,
         };
         for scoring in self.rewards.start(BootInstant::now(), slots) {
--- a/crates/sloetrail-serving/src/owner/slot_demand/tests.rs
+++ b/crates/sloetrail-serving/src/owner/slot_demand/tests.rs
@@ -83,8 +83,8 @@
 
 #[test]
 fn rows_are_written_on_change_and_before_expiry() {
-    let began = BootInstant::now();
-    let mut reporter = DemandReporter::new(began);
+    let started_at = BootInstant::now();
+    let mut reporter = DemandReporter::new(started_at);
     let mut stored: Option<DemandRow> = None;
     let mut written = Vec::new();
     for tick in 0..400_u64 {
@@ -92,7 +92,7 @@
         let running = if (50..250).contains(&tick) { 7 } else { 0 };
         reporter.record(running, running);
         let now_ms = after(at);
-        if let Some(demand) = due(&mut reporter, began + at, now_ms, known(stored)) {
+        if let Some(demand) = due(&mut reporter, started_at + at, now_ms, known(stored)) {
             reporter.record_write(true);
             stored = Some(row(demand, 1, now_ms));
             written.push((tick, demand));
@@ -119,25 +119,30 @@
 
 #[test]
 fn a_new_owner_replaces_the_previous_row_after_one_period() {
-    let began = BootInstant::now();
-    let mut reporter = DemandReporter::new(began);
+    let started_at = BootInstant::now();
+    let mut reporter = DemandReporter::new(started_at);
     let stored = StoredDemand::Row(row(demand(9), 4, AT_MS));
     reporter.record(0, 0);
-    let early = began + MIN_REPORT_INTERVAL / 2;
+    let early = started_at + MIN_REPORT_INTERVAL / 2;
     assert_eq!(due(&mut reporter, early, AT_MS, stored), None);
-    let first = due(&mut reporter, began + MIN_REPORT_INTERVAL, AT_MS, stored);
+    let first = due(
+        &mut reporter,
+        started_at + MIN_REPORT_INTERVAL,
+        AT_MS,
+        stored,
+    );
     assert_eq!(first, Some(SlotDemand::default()));
-    let again = began + MIN_REPORT_INTERVAL * 3;
+    let again = started_at + MIN_REPORT_INTERVAL * 3;
     assert_eq!(due(&mut reporter, again, AT_MS, stored), None, "in flight");
 }
 
 #[test]
 fn an_idle_owner_overwrites_only_unreadable_rows() {
-    let began = BootInstant::now();
+    let started_at = BootInstant::now();
     let idle = SlotDemand::default();
-    let later = began + MIN_REPORT_INTERVAL;
+    let later = started_at + MIN_REPORT_INTERVAL;
     let late = after(DEMAND_VALIDITY * 10);
-    let report = |stored| due(&mut DemandReporter::new(began), later, late, stored);
+    let report = |stored| due(&mut DemandReporter::new(started_at), later, late, stored);
     assert_eq!(report(StoredDemand::Unreadable), Some(idle));
     assert_eq!(report(StoredDemand::Absent), None);
     assert_eq!(report(StoredDemand::Row(row(idle, 1, AT_MS))), None);
@@ -145,14 +150,14 @@
 
 #[test]
 fn a_step_is_reported_again_only_after_a_failed_write() {
-    let began = BootInstant::now();
-    let mut reporter = DemandReporter::new(began);
+    let started_at = BootInstant::now();
+    let mut reporter = DemandReporter::new(started_at);
     reporter.record(3, 3);
     reporter.record_step(0.5);
     reporter.record_step(1.021);
     let first = due(
         &mut reporter,
-        began + MIN_REPORT_INTERVAL,
+        started_at + MIN_REPORT_INTERVAL,
         AT_MS,
         StoredDemand::Absent,
     );
@@ -161,7 +166,7 @@
     reporter.record(3, 3);
     let second = due(
         &mut reporter,
-        began + MIN_REPORT_INTERVAL * 2,
+        started_at + MIN_REPORT_INTERVAL * 2,
         AT_MS,
         StoredDemand::Absent,
     );
@@ -170,7 +175,7 @@
     reporter.record(3, 3);
     let third = due(
         &mut reporter,
-        began + MIN_REPORT_INTERVAL * 3,
+        started_at + MIN_REPORT_INTERVAL * 3,
         AT_MS,
         StoredDemand::Absent,
     );
--- a/crates/sloetrail-serving/src/quarantine/crash_watch.rs
+++ b/crates/sloetrail-serving/src/quarantine/crash_watch.rs
@@ -38,7 +38,6 @@
 /// How to determine whether a back end has crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CrashCheck {
-    /// Probe its address.
     ProbeAddress,
     /// It is known to have crashed while running this request.
     AlreadyCrashed(RequestDigest),
@@ -134,8 +133,7 @@
         match before {
             None => Some(CrashCheck::ProbeAddress),
             // Only connections were lost before, but this time it may have crashed.
-            // Earlier losses are dropped once their requests can no longer be
-            // running.
+            // Earlier losses are dropped once their requests can no longer be running.
             Some(Stage::Listening) => {
                 if now.saturating_duration_since(known.since) >= MAX_ABANDONED_RUN {
                     known.requests = BTreeSet::from([request]);
--- a/crates/sloetrail-serving/src/quarantine/mod.rs
+++ b/crates/sloetrail-serving/src/quarantine/mod.rs
@@ -152,7 +152,6 @@
         !quarantined.is_empty()
     }
 
-    /// Returns the current assessment.
     pub(crate) fn assessment(&self) -> Arc<CrashAssessment> {
         Arc::clone(&self.assessment.read().expect("not poisoned"))
     }
--- a/crates/sloetrail-serving/src/quarantine/trial.rs
+++ b/crates/sloetrail-serving/src/quarantine/trial.rs
@@ -45,13 +45,13 @@
             .require(address.clone(), known.map(|row| row.version))
             .put(address, value);
         let commit = self.table.commit(&transaction).await;
-        let has_begun = matches!(commit, Ok(Commit::Done(_)));
-        if has_begun {
+        let has_started = matches!(commit, Ok(Commit::Done(_)));
+        if has_started {
             events::emit(&Event::RequestTried {
                 digest: &suspect.digest.to_string(),
                 service: suspect.service.as_str(),
             });
         }
-        has_begun
+        has_started
     }
 }
--- a/crates/sloetrail-serving/src/relay/liveness.rs
+++ b/crates/sloetrail-serving/src/relay/liveness.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Liveness {
     gone: u32,
-    silent: u32,
+    unresponsive: u32,
 }
 
 impl Liveness {
@@ -33,11 +33,13 @@
         match outcome {
             ProbeOutcome::Alive => *self = Self::default(),
             ProbeOutcome::Gone => self.gone += 1,
-            ProbeOutcome::Silent => self.silent += 1,
+            ProbeOutcome::Silent => self.unresponsive += 1,
         }
         match self {
             Self { gone, .. } if *gone >= MIN_GONE_PROBES => LivenessDecision::Compete,
-            Self { silent, .. } if *silent >= MIN_SILENT_PROBES => LivenessDecision::AskPeer,
+            Self { unresponsive, .. } if *unresponsive >= MIN_SILENT_PROBES => {
+                LivenessDecision::AskPeer
+            }
             _ => LivenessDecision::Wait,
         }
     }
--- a/crates/sloetrail-serving/src/relay/message.rs
+++ b/crates/sloetrail-serving/src/relay/message.rs
@@ -9,7 +9,6 @@
 
 /// Version of these messages. A node refuses other versions.
 pub(super) const MESSAGE_VERSION: u8 = 1;
-/// Path for relayed calls.
 pub(super) const CALLS_PATH: &str = "/v1/table-calls";
 /// Path that returns the incarnation of the answering node.
 pub(super) const INCARNATION_PATH: &str = "/v1/life";
@@ -130,7 +129,7 @@
 
 pub(super) fn encode(message: &impl Serialize) -> Vec<u8> {
     let mut encoded = Vec::new();
-    ciborium::into_writer(message, &mut encoded).expect("writing to memory does not fail");
+    ciborium::into_writer(message, &mut encoded).expect("writing to a Vec cannot fail");
     encoded
 }
 
--- a/crates/sloetrail-serving/src/relay/peers.rs
+++ b/crates/sloetrail-serving/src/relay/peers.rs
@@ -166,14 +166,14 @@
 
 impl Peers {
     pub(super) fn follow(settings: &ServingSettings, table: &Arc<dyn Table>) -> Self {
-        let pace = PollTiming {
+        let poll_timing = PollTiming {
             delay: FleetScaledDuration::fixed(FOLLOW_DELAY),
             long_poll_timeout: FleetScaledDuration::fixed(FOLLOW_LONG_POLL_TIMEOUT),
         };
         Self {
             own_name: settings.node.clone(),
             topology: settings.topology.clone(),
-            entries: follow(Arc::clone(table), rows::NODES, rows::NODES, pace),
+            entries: follow(Arc::clone(table), rows::NODES, rows::NODES, poll_timing),
             connections: Arc::new(ConnectionPool::new()),
             started_at: BootInstant::now(),
             state: Mutex::default(),
@@ -401,7 +401,6 @@
     }
 }
 
-/// Returns the name of the node of an incarnation.
 pub(super) fn node_name(incarnation: &NodeId) -> &str {
     incarnation.as_str().split('/').next().unwrap_or_default()
 }
--- a/crates/sloetrail-serving/src/rows.rs
+++ b/crates/sloetrail-serving/src/rows.rs
@@ -266,7 +266,6 @@
     format!("{CLAIMS}/{number:x}")
 }
 
-/// Returns the position in the key of a result.
 pub fn result_position(key: &str) -> Option<usize> {
     key.split('/').nth(1)?.parse().ok()
 }
--- a/crates/sloetrail-serving/src/service_pools.rs
+++ b/crates/sloetrail-serving/src/service_pools.rs
@@ -2,7 +2,7 @@
 
 mod state;
 
-use self::state::{State, live_demand};
+use self::state::{State, live_requirements};
 use crate::back_end::BackEnd;
 use crate::directory::Directory;
 use crate::gateway::slot_wait::SlotWaitEstimate;
@@ -209,7 +209,7 @@
         } = &mut *state;
         let balancer = balancers.get_mut(service)?;
         let regions = &waiter.request().regions;
-        let chosen = balancer.choose(now, random, live_demand(excluded, regions));
+        let chosen = balancer.choose(now, random, live_requirements(excluded, regions));
         let Some(id) = chosen else {
             self.subset_demand.demand_more();
             return None;
--- a/crates/sloetrail-serving/src/service_pools/state.rs
+++ b/crates/sloetrail-serving/src/service_pools/state.rs
@@ -121,13 +121,13 @@
         let (Some(balancer), Some(queue)) = (balancer, queue) else {
             return true;
         };
-        let demand = live_demand(excluded, &waiter.request().regions);
-        if queue.is_empty() || !balancer.has_free_slot(now, demand) {
+        let requirements = live_requirements(excluded, &waiter.request().regions);
+        if queue.is_empty() || !balancer.has_free_slot(now, requirements) {
             return true;
         }
         let no_exclusions = BTreeSet::new();
         queue.check_turn(waiter, now, |regions| {
-            balancer.has_free_slot(now, live_demand(&no_exclusions, regions))
+            balancer.has_free_slot(now, live_requirements(&no_exclusions, regions))
         })
     }
 
@@ -144,7 +144,7 @@
         }
         let no_exclusions = BTreeSet::new();
         queue.wake_first(now, |regions| {
-            balancer.has_free_slot(now, live_demand(&no_exclusions, regions))
+            balancer.has_free_slot(now, live_requirements(&no_exclusions, regions))
         });
     }
 
@@ -230,8 +230,7 @@
     }
 }
 
-/// The demand of a live request.
-pub(super) fn live_demand<'a>(
+pub(super) fn live_requirements<'a>(
     excluded: &'a BTreeSet<EngineId>,
     regions: &'a AllowedRegions,
 ) -> EngineRequirements<'a> {
--- a/crates/sloetrail-serving/src/telemetry.rs
+++ b/crates/sloetrail-serving/src/telemetry.rs
@@ -224,7 +224,6 @@
     counter!("sloetrail_log_lines_dropped_total", "cause" => cause).increment(count);
 }
 
-/// The distinct values of a label.
 struct LabelValues {
     known: Mutex<BTreeSet<String>>,
 }
--- a/crates/sloetrail-serving/src/usage/node_usage.rs
+++ b/crates/sloetrail-serving/src/usage/node_usage.rs
@@ -203,7 +203,7 @@
 
 fn encode_piece(piece: &UsagePiece) -> Bytes {
     let mut encoded = Vec::new();
-    ciborium::into_writer(piece, &mut encoded).expect("writing to memory cannot fail");
+    ciborium::into_writer(piece, &mut encoded).expect("writing to a Vec cannot fail");
     Bytes::from(encoded)
 }
 
--- a/crates/sloetrail-serving/tests/bound_supply.rs
+++ b/crates/sloetrail-serving/tests/bound_supply.rs
@@ -79,10 +79,10 @@
         is_done: impl Fn(&[SupplyRecord]) -> bool,
     ) -> Vec<SupplyRecord> {
         let before = self.recorder.records().len();
-        let began = Instant::now();
+        let started_at = Instant::now();
         loop {
             let records = self.recorder.records().split_off(before);
-            if is_done(&records) || began.elapsed() > ORDER_TIMEOUT {
+            if is_done(&records) || started_at.elapsed() > ORDER_TIMEOUT {
                 return records;
             }
             self.run_batch(node, count).await;
@@ -96,10 +96,10 @@
     }
 
     /// Returns the node that holds a lease, and the lease's epoch.
-    async fn holder(&self, subject: &str) -> (usize, u64) {
+    async fn holder(&self, resource: &str) -> (usize, u64) {
         let found = || async {
             let rows = self.cluster.table.rows("sloetrail_leases");
-            let key = format!("lease/{subject}");
+            let key = format!("lease/{resource}");
             let row = rows.iter().find(|row| row.address.key == key)?;
             let record: serde_json::Value = serde_json::from_slice(&row.value).ok()?;
             let name = record["holder"].as_str()?.split('/').next()?.to_owned();
--- a/crates/sloetrail-serving/tests/callers_that_leave.rs
+++ b/crates/sloetrail-serving/tests/callers_that_leave.rs
@@ -189,10 +189,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn running_streams_are_cancelled_between_events() {
     for leaving in ALL_LEAVINGS {
-        for pace in [Duration::from_millis(20), Duration::from_millis(1_200)] {
+        for event_interval in [Duration::from_millis(20), Duration::from_millis(1_200)] {
             let cluster = cluster_with(2).await;
             for engine in &cluster.engines {
-                engine.set_event_interval(pace);
+                engine.set_event_interval(event_interval);
             }
             let mut caller = Caller::send(&cluster, "/events/x", "s1", "events=1000").await;
             let mut buffer = [0; 64];
--- a/crates/sloetrail-serving/tests/cold.rs
+++ b/crates/sloetrail-serving/tests/cold.rs
@@ -142,9 +142,9 @@
 /// Sends live requests to every node, many more than the back end can serve. Returns how many were
 /// answered with 200.
 async fn request_every_node(cluster: &Cluster, time: Duration) -> usize {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut answered = 0;
-    while began.elapsed() < time {
+    while started_at.elapsed() < time {
         let calls = (0..cluster.nodes.len()).map(|node| live(cluster, node, "/live/x", "r"));
         for answer in futures_util::future::join_all(calls).await {
             let answer = answer.expect("an answer");
--- a/crates/sloetrail-serving/tests/connection_costs.rs
+++ b/crates/sloetrail-serving/tests/connection_costs.rs
@@ -23,7 +23,7 @@
 }
 
 impl CountingCluster {
-    async fn start(pace: Duration) -> Self {
+    async fn start(event_interval: Duration) -> Self {
         let mut cluster = native_cluster();
         let mut proxies = Vec::new();
         let mut started = Vec::new();
@@ -33,7 +33,7 @@
             (MODELS, &[MODEL][..]),
         ] {
             let wire = Arc::new(NativeWire);
-            let back_end = FakeEngine::start(wire, service, "zone-a", models, pace).await;
+            let back_end = FakeEngine::start(wire, service, "zone-a", models, event_interval).await;
             let proxy = BlackholeProxy::start(back_end.address()).await;
             back_end.set_listed_address(proxy.address);
             cluster.list(&back_end);
--- a/crates/sloetrail-serving/tests/crashing_items.rs
+++ b/crates/sloetrail-serving/tests/crashing_items.rs
@@ -9,13 +9,13 @@
 use std::time::Duration;
 use support::{accepted, lease_holder, native_cluster};
 
-const PACE: Duration = Duration::from_millis(5);
+const EVENT_INTERVAL: Duration = Duration::from_millis(5);
 const LETHAL_EVENTS: u64 = 13;
 /// Back ends that one item may crash before it is quarantined.
 const MAX_CRASHES: usize = 3;
 
 async fn add_engine(cluster: &mut Cluster) {
-    let engine = cluster.add_engine(PACE).await;
+    let engine = cluster.add_engine(EVENT_INTERVAL).await;
     engine.set_crash_body(format!("events={LETHAL_EVENTS}"));
 }
 
@@ -121,7 +121,7 @@
         let application = cluster.add_application("zone-a").await;
         application.set_crash_body("score");
     }
-    cluster.add_engine(PACE).await;
+    cluster.add_engine(EVENT_INTERVAL).await;
     for name in ["node-1", "node-2"] {
         let node = cluster.add_node(name).await;
         cluster.wait_ready(node).await;
--- a/crates/sloetrail-serving/tests/evacuation.rs
+++ b/crates/sloetrail-serving/tests/evacuation.rs
@@ -30,10 +30,10 @@
 }
 
 impl Zone {
-    async fn start(cluster: &mut Cluster, zone: &str, pace: Duration) -> Self {
+    async fn start(cluster: &mut Cluster, zone: &str, event_interval: Duration) -> Self {
         Self {
             application: cluster.add_application(zone).await,
-            engine: cluster.add_engine_in(zone, pace).await,
+            engine: cluster.add_engine_in(zone, event_interval).await,
         }
     }
 
@@ -51,10 +51,10 @@
 }
 
 /// Starts nodes and back ends in one zone, and back ends in another.
-async fn cluster_of_two_zones(nodes: usize, pace: Duration) -> (Cluster, Zone, Zone) {
+async fn cluster_of_two_zones(nodes: usize, event_interval: Duration) -> (Cluster, Zone, Zone) {
     let mut cluster = native_cluster();
-    let own = Zone::start(&mut cluster, OWN, pace).await;
-    let other = Zone::start(&mut cluster, OTHER, pace).await;
+    let own = Zone::start(&mut cluster, OWN, event_interval).await;
+    let other = Zone::start(&mut cluster, OTHER, event_interval).await;
     add_nodes(&mut cluster, nodes).await;
     (cluster, own, other)
 }
--- a/crates/sloetrail-serving/tests/frozen_while_connecting.rs
+++ b/crates/sloetrail-serving/tests/frozen_while_connecting.rs
@@ -18,7 +18,7 @@
 /// Zone of the node.
 const OWN_ZONE: &str = "zone-a";
 const OTHER_ZONE: &str = "zone-b";
-const PACE: Duration = Duration::from_millis(5);
+const EVENT_INTERVAL: Duration = Duration::from_millis(5);
 /// Connecting starts within this time and lasts up to 400 ms.
 const CONNECT_STARTED: Duration = Duration::from_millis(200);
 /// Longer than the second after which the kernel retransmits a SYN.
@@ -40,7 +40,7 @@
             _ => &[],
         };
         let wire = Arc::new(NativeWire);
-        let back_end = FakeEngine::start(wire, service, zone, models, PACE).await;
+        let back_end = FakeEngine::start(wire, service, zone, models, EVENT_INTERVAL).await;
         let proxy = CongestedProxy::start(back_end.address()).await;
         back_end.set_listed_address(proxy.address);
         cluster.list(&back_end);
@@ -209,7 +209,7 @@
     let answer = cluster.submit(0, "b1", &work).await;
     assert_eq!(answer.expect("an answer").status, 202);
     freeze_while_connecting(&cluster, &leaving, Change::Leaving).await;
-    cluster.add_engine(PACE).await;
+    cluster.add_engine(EVENT_INTERVAL).await;
     let results = cluster.wait_results(0, "b1", ITEMS).await;
     assert_each_once(&results, ITEMS);
     assert_eq!(
--- a/crates/sloetrail-serving/tests/reading.rs
+++ b/crates/sloetrail-serving/tests/reading.rs
@@ -10,7 +10,6 @@
 use support::{accepted, usual_cluster};
 use tokio::time::Instant;
 
-/// Event interval of the engine.
 const EVENT_INTERVAL: Duration = Duration::from_millis(4);
 /// Waiting time of the reader.
 const WAIT: Duration = Duration::from_millis(1_000);
--- a/crates/sloetrail-serving/tests/relay.rs
+++ b/crates/sloetrail-serving/tests/relay.rs
@@ -156,7 +156,7 @@
         },
     };
     let mut bytes = Vec::new();
-    ciborium::into_writer(&call, &mut bytes).expect("writing to memory does not fail");
+    ciborium::into_writer(&call, &mut bytes).expect("writing to a Vec cannot fail");
     bytes
 }
 
--- a/crates/sloetrail-serving/tests/silent_connections.rs
+++ b/crates/sloetrail-serving/tests/silent_connections.rs
@@ -17,7 +17,6 @@
 use std::time::Duration;
 use support::{accepted, items, live, native_cluster};
 
-/// Latency target of the routes.
 const LATENCY_TARGET: Duration = Duration::from_millis(200);
 const CONNECTIONS: usize = 6;
 
@@ -29,14 +28,14 @@
 }
 
 /// Starts a node whose back ends are reached through proxies.
-async fn start_proxied(applications: usize, pace: Duration) -> ProxiedCluster {
+async fn start_proxied(applications: usize, event_interval: Duration) -> ProxiedCluster {
     let mut cluster = native_cluster();
     let mut proxies = Vec::new();
     let mut started = Vec::new();
     let services = std::iter::repeat_n((APPLICATION, &[][..]), applications);
     for (service, models) in services.chain([(MODELS, &[MODEL][..])]) {
         let wire = Arc::new(NativeWire);
-        let back_end = FakeEngine::start(wire, service, "zone-a", models, pace).await;
+        let back_end = FakeEngine::start(wire, service, "zone-a", models, event_interval).await;
         let proxy = BlackholeProxy::start(back_end.address()).await;
         back_end.set_listed_address(proxy.address);
         cluster.list(&back_end);
@@ -271,8 +270,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn runs_that_stall_midway_evict_idle_connections() {
     const ITEMS: usize = 4;
-    const PACE: Duration = Duration::from_millis(30);
-    let proxied = start_proxied(1, PACE).await;
+    const EVENT_INTERVAL: Duration = Duration::from_millis(30);
+    let proxied = start_proxied(1, EVENT_INTERVAL).await;
     let submit = |id: &'static str, count: usize, events: u64| {
         let batch = batch(&items(count, events), MODEL, 1);
         let cluster = &proxied.cluster;
@@ -283,7 +282,7 @@
     };
     submit("rests", ITEMS * 2, 2).await;
     let silencing = async {
-        tokio::time::sleep(PACE * 10).await;
+        tokio::time::sleep(EVENT_INTERVAL * 10).await;
         proxied.silence_all();
     };
     let watch = Stopwatch::start();
--- a/crates/sloetrail-serving/tests/submissions.rs
+++ b/crates/sloetrail-serving/tests/submissions.rs
@@ -11,7 +11,6 @@
 
 /// Time after which a node has detected that the table does not answer.
 const DETECTION_TIME: Duration = Duration::from_millis(1_500);
-/// The timeout of the route.
 const ROUTE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Starts one node and one engine, with a table client that detects outages.
--- a/crates/sloetrail-serving/tests/supply.rs
+++ b/crates/sloetrail-serving/tests/supply.rs
@@ -61,10 +61,10 @@
     recorder: &SupplyRecorder,
     count: usize,
 ) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let before = recorder.records().len();
-    while began.elapsed() < RELEASE_TIMEOUT && recorder.records().len() == before {
-        let id = format!("b-{node}-{}", began.elapsed().as_millis());
+    while started_at.elapsed() < RELEASE_TIMEOUT && recorder.records().len() == before {
+        let id = format!("b-{node}-{}", started_at.elapsed().as_millis());
         submit_items(cluster, node, &id, count, 60).await;
         cluster.wait_results(node, &id, count).await;
         cluster.end(node, &id).await;
@@ -162,8 +162,8 @@
         })
     });
     start(&mut cluster).await;
-    let began = Instant::now();
-    while began.elapsed() < DEMAND_REPORT_TIMEOUT {
+    let started_at = Instant::now();
+    while started_at.elapsed() < DEMAND_REPORT_TIMEOUT {
         run_batches_until_ordered(&cluster, 0, &recorder, HEAVY_LOAD_ITEMS).await;
     }
     assert!(!recorder.records().is_empty(), "engines are ordered");
--- a/crates/sloetrail-serving/tests/support/mod.rs
+++ b/crates/sloetrail-serving/tests/support/mod.rs
@@ -18,7 +18,6 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Returns a cluster with the native dialect.
 pub fn native_cluster() -> Cluster {
     Cluster::new(Arc::new(NativeWire), Arc::new(NativeDialect::default()))
 }
--- a/crates/sloetrail-serving/tests/tenants_in_turn.rs
+++ b/crates/sloetrail-serving/tests/tenants_in_turn.rs
@@ -159,9 +159,9 @@
     let cluster = Arc::new(cluster().await);
     let flood = Flood::start(&cluster, "/live/x", NORTH);
     tokio::time::sleep(FLOOD_WARMUP).await;
-    let began = Instant::now();
+    let started_at = Instant::now();
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let took = began.elapsed() + FLOOD_WARMUP;
+    let took = started_at.elapsed() + FLOOD_WARMUP;
     let north = flood.end().await;
     let possible = 8.0 * took.as_secs_f64() / SERVICE_TIME.as_secs_f64();
     assert!(
--- a/crates/sloetrail-serving/tests/usage.rs
+++ b/crates/sloetrail-serving/tests/usage.rs
@@ -79,13 +79,13 @@
 
 /// Waits until `count` more windows are reported.
 async fn wait_for_windows(recorder: &ReportRecorder, count: usize) {
-    let expected = recorder.taken().len() + count;
-    let are_reported = || async { (recorder.taken().len() >= expected).then_some(()) };
+    let expected = recorder.accepted().len() + count;
+    let are_reported = || async { (recorder.accepted().len() >= expected).then_some(()) };
     eventually("later windows are reported", are_reported).await;
 }
 
 fn assert_windows_are_contiguous(recorder: &ReportRecorder) {
-    let windows: Vec<u64> = recorder.taken().keys().map(|window| window.0).collect();
+    let windows: Vec<u64> = recorder.accepted().keys().map(|window| window.0).collect();
     let (first, last) = (windows[0], windows[windows.len() - 1]);
     assert_eq!(windows, (first..=last).collect::<Vec<u64>>());
 }
@@ -155,8 +155,10 @@
         tokio::time::sleep(Duration::from_millis(length_ms / 2)).await;
     }
     wait_for_requests(&recorder, "north", 6).await;
-    let taken = recorder.taken();
-    let with_requests = taken.values().filter(|report| report.total_requests() > 0);
+    let accepted = recorder.accepted();
+    let with_requests = accepted
+        .values()
+        .filter(|report| report.total_requests() > 0);
     let counted = with_requests.map(|report| (report.window.0, report.total_requests()));
     assert_eq!(counted.collect::<Vec<(u64, u64)>>(), expected);
 }
@@ -231,8 +233,8 @@
     let first = holder(&recorder).await;
     send_requests(&cluster, 1 - first, "north", 5).await;
     recorder.set_fault(ReportFault::AcceptedUnanswered);
-    let before = recorder.taken().len();
-    let is_accepted = || async { (recorder.taken().len() > before).then_some(()) };
+    let before = recorder.accepted().len();
+    let is_accepted = || async { (recorder.accepted().len() > before).then_some(()) };
     eventually("a report is accepted without an answer", is_accepted).await;
     cluster.nodes[first].kill();
     send_requests(&cluster, 1 - first, "north", 2).await;
