--- a/crates/sloetrail-cli/src/apply.rs
+++ b/crates/sloetrail-cli/src/apply.rs
@@ -54,11 +54,11 @@
     let file = read_file(matches)?;
     let client = Client::from_arguments(matches);
     let report: ConfigurationReport = client.get("/v1/configuration").await?;
-    let present = match report.revision {
+    let current = match report.revision {
         Revision(0) => Configuration::default(),
         _ => Configuration::parse("in force", &report.text)?,
     };
-    let changes = difference(&present, &file.configuration);
+    let changes = difference(&current, &file.configuration);
     if as_json {
         println!(
             "{}",
@@ -98,7 +98,7 @@
     let file = read_file(matches)?;
     let id = matches.get_one::<String>("id").cloned();
     let request = ApplyRequest {
-        apply: ApplyId::new(id.unwrap_or_else(make_id)),
+        apply: ApplyId::new(id.unwrap_or_else(generate_apply_id)),
         file: file.name,
         text: file.text,
         base_revision: matches.get_one::<u64>("base").copied().map(Revision),
@@ -127,7 +127,7 @@
 }
 
 /// An id that no other apply has: the time and this process.
-fn make_id() -> String {
+fn generate_apply_id() -> String {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     let microseconds = elapsed.map_or(0, |elapsed| elapsed.as_micros());
     format!("apply-{microseconds:x}-{}", std::process::id())
--- a/crates/sloetrail-cli/src/arguments.rs
+++ b/crates/sloetrail-cli/src/arguments.rs
@@ -22,7 +22,7 @@
             Command::new("validate")
                 .about("Checks a service file without asking a node")
                 .after_help("Example: sloetrail validate examples/maelir.toml")
-                .arg(file()),
+                .arg(file_arg()),
         )
         .subcommand(
             Command::new("plan")
@@ -30,8 +30,8 @@
                 .after_help(
                     "Example: sloetrail plan --node 127.0.0.1:7600 examples/maelir.toml",
                 )
-                .arg(node())
-                .arg(file()),
+                .arg(node_arg())
+                .arg(file_arg()),
         )
         .subcommand(
             Command::new("apply")
@@ -40,7 +40,7 @@
                     "Example: sloetrail apply --node 127.0.0.1:7600 --base 7 examples/maelir.toml\n\
                      Exit code 4: the outcome is unknown; read it back with `sloetrail get --apply ID`.",
                 )
-                .arg(node())
+                .arg(node_arg())
                 .arg(
                     Arg::new("base")
                         .long("base")
@@ -54,13 +54,13 @@
                         .value_name("ID")
                         .help("The apply's id; made up if absent"),
                 )
-                .arg(file()),
+                .arg(file_arg()),
         )
         .subcommand(
             Command::new("get")
                 .about("Reads back what is in force in each zone, or one apply")
                 .after_help("Example: sloetrail get --node 127.0.0.1:7600")
-                .arg(node())
+                .arg(node_arg())
                 .arg(
                     Arg::new("apply")
                         .long("apply")
@@ -72,21 +72,21 @@
             Command::new("status")
                 .about("Shows a node, its zone and its services")
                 .after_help("Example: sloetrail status --node 127.0.0.1:7600")
-                .arg(node()),
+                .arg(node_arg()),
         )
         .subcommand(
             Command::new("drain")
                 .about("Has an engine take no new work and finish what it has")
                 .after_help("Example: sloetrail drain --node 127.0.0.1:7600 vision-lm-3")
-                .arg(node())
-                .arg(engine()),
+                .arg(node_arg())
+                .arg(engine_arg()),
         )
         .subcommand(
             Command::new("resume")
                 .about("Has a drained engine take work again")
                 .after_help("Example: sloetrail resume --node 127.0.0.1:7600 vision-lm-3")
-                .arg(node())
-                .arg(engine()),
+                .arg(node_arg())
+                .arg(engine_arg()),
         )
         .subcommand(
             Command::new("explain")
@@ -109,19 +109,19 @@
                         .value_name("ID")
                         .help("The id of a request, a batch, an item or a reward call"),
                 )
-                .arg(logs()),
+                .arg(logs_arg()),
         )
         .subcommand(
             Command::new("step-report")
                 .about("Tells where the time of training steps went, from the logs of several nodes")
                 .after_help("Example: sloetrail step-report node-1.log node-2.log")
-                .arg(logs()),
+                .arg(logs_arg()),
         )
         .subcommand(
             Command::new("usage")
                 .about("Tells which windows of usage were reported, by whom, and which are missing, from the logs of several nodes")
                 .after_help("Example: sloetrail usage node-1.log node-2.log")
-                .arg(logs()),
+                .arg(logs_arg()),
         )
         .subcommand(
             Command::new("zones")
@@ -147,21 +147,21 @@
                         .value_delimiter(',')
                         .help("Judge only these invariants"),
                 )
-                .arg(file()),
+                .arg(file_arg()),
         )
         .subcommand(
             Command::new("replay")
                 .about("Replays a trace against its stated outcomes")
                 .after_help("Example: sloetrail replay traces/withdrawn-sample.jsonl")
-                .arg(file()),
+                .arg(file_arg()),
         )
 }
 
-fn file() -> Arg {
+fn file_arg() -> Arg {
     Arg::new("file").required(true).value_name("FILE")
 }
 
-fn logs() -> Arg {
+fn logs_arg() -> Arg {
     Arg::new("logs")
         .required(true)
         .num_args(1..)
@@ -169,11 +169,11 @@
         .help("Logs of nodes, in any order")
 }
 
-fn engine() -> Arg {
+fn engine_arg() -> Arg {
     Arg::new("engine").required(true).value_name("ENGINE")
 }
 
-fn node() -> Arg {
+fn node_arg() -> Arg {
     Arg::new("node")
         .long("node")
         .value_name("ADDRESS")
--- a/crates/sloetrail-cli/src/check.rs
+++ b/crates/sloetrail-cli/src/check.rs
@@ -7,14 +7,14 @@
 
 /// Judges a history.
 pub(crate) fn check(matches: &ArgMatches, as_json: bool) -> Result<(), Failure> {
-    let wanted = wanted_invariants(matches)?;
+    let selected = selected_invariants(matches)?;
     let text = read(matches)?;
     let events = read_history(&text)
         .map_err(|error| Failure::usage(ResultCode::HistoryUnreadable, error.to_string()))?;
     let events = merge_histories(vec![events]);
     let verdicts: Vec<Verdict> = sloetrail_history::check(&events, CheckBounds::default())
         .into_iter()
-        .filter(|verdict| wanted.contains(&verdict.invariant))
+        .filter(|verdict| selected.contains(&verdict.invariant))
         .collect();
     for verdict in &verdicts {
         match as_json {
@@ -32,7 +32,7 @@
     }
 }
 
-fn wanted_invariants(matches: &ArgMatches) -> Result<Vec<Invariant>, Failure> {
+fn selected_invariants(matches: &ArgMatches) -> Result<Vec<Invariant>, Failure> {
     let Some(names) = matches.get_many::<String>("only") else {
         return Ok(Invariant::ALL.to_vec());
     };
--- a/crates/sloetrail-cli/src/client.rs
+++ b/crates/sloetrail-cli/src/client.rs
@@ -12,8 +12,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const TIMEOUT: Duration = Duration::from_secs(15);
-const ANSWER_LIMIT_BYTES: usize = 64 * 1024 * 1024;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// Asks the nodes that were given, in their order.
 pub(crate) struct Client {
@@ -36,7 +36,7 @@
     /// Gets a JSON answer.
     pub(crate) async fn get<A: DeserializeOwned>(&self, path: &str) -> Result<A, Failure> {
         let response = self.call(Method::GET, path, Vec::new()).await?;
-        read(&response)
+        decode(&response)
     }
 
     /// Posts a JSON message and reads a JSON answer.
@@ -48,7 +48,7 @@
         let body = serde_json::to_vec(message)
             .map_err(|error| Failure::usage(ResultCode::InternalError, error.to_string()))?;
         let response = self.call(Method::POST, path, body).await?;
-        read(&response)
+        decode(&response)
     }
 
     /// Posts without a message or an answer.
@@ -63,7 +63,7 @@
         path: &str,
         body: Vec<u8>,
     ) -> Result<RawResponse, Failure> {
-        let mut last = "no node was given".to_owned();
+        let mut last_error = "no node was given".to_owned();
         for node in &self.nodes {
             let request = Request::builder()
                 .method(method.clone())
@@ -71,21 +71,25 @@
                 .header(http::header::CONTENT_TYPE, "application/json")
                 .body(Full::new(Bytes::from(body.clone())))
                 .map_err(|error| Failure::usage(ResultCode::UnknownPath, error.to_string()))?;
-            match self.http.fetch(request, TIMEOUT, ANSWER_LIMIT_BYTES).await {
+            match self
+                .http
+                .fetch(request, REQUEST_TIMEOUT, MAX_RESPONSE_BYTES)
+                .await
+            {
                 Ok(response) if response.status.is_success() => return Ok(response),
                 Ok(response) => return Err(problem_of(&response).into()),
-                Err(CallError::NotExecuted { reason }) => last = format!("{node}: {reason}"),
+                Err(CallError::NotExecuted { reason }) => last_error = format!("{node}: {reason}"),
                 Err(CallError::Unknown { reason }) => {
                     let detail = format!("{node}: {reason}");
                     return Err(Problem::new(ResultCode::OwnerLost, detail).into());
                 }
             }
         }
-        Err(Failure::unreachable(last))
+        Err(Failure::unreachable(last_error))
     }
 }
 
-fn read<A: DeserializeOwned>(response: &RawResponse) -> Result<A, Failure> {
+fn decode<A: DeserializeOwned>(response: &RawResponse) -> Result<A, Failure> {
     response
         .json()
         .map_err(|error| Problem::new(ResultCode::InternalError, error.to_string()).into())
--- a/crates/sloetrail-cli/src/orders.rs
+++ b/crates/sloetrail-cli/src/engine_commands.rs
@@ -6,15 +6,19 @@
 
 /// Drains an engine.
 pub(crate) async fn drain(matches: &ArgMatches) -> Result<(), Failure> {
-    order(matches, "drain", "takes no new work").await
+    send_engine_command(matches, "drain", "takes no new work").await
 }
 
 /// Ends an engine's drain.
 pub(crate) async fn resume(matches: &ArgMatches) -> Result<(), Failure> {
-    order(matches, "resume", "takes work again").await
+    send_engine_command(matches, "resume", "takes work again").await
 }
 
-async fn order(matches: &ArgMatches, verb: &str, effect: &str) -> Result<(), Failure> {
+async fn send_engine_command(
+    matches: &ArgMatches,
+    verb: &str,
+    effect: &str,
+) -> Result<(), Failure> {
     let engine = matches.get_one::<String>("engine").expect("it is required");
     let client = Client::from_arguments(matches);
     let path = format!("/v1/engines/{engine}/{verb}");
--- a/crates/sloetrail-cli/src/explain_request.rs
+++ b/crates/sloetrail-cli/src/explain_request.rs
@@ -2,19 +2,19 @@
 
 use crate::failure::Failure;
 use crate::log_files::read_logs;
-use crate::log_story::{as_text, gather};
+use crate::log_timeline::{as_text, gather};
 use clap::ArgMatches;
 
-/// Prints the story of an id from log files.
+/// Prints the timeline of an id from log files.
 pub(crate) fn explain_request(matches: &ArgMatches, as_json: bool) -> Result<(), Failure> {
     let id = matches.get_one::<String>("id").expect("it is required");
     let texts = read_logs(matches)?;
-    let story = gather(id, texts.iter().map(String::as_str));
+    let timeline = gather(id, texts.iter().map(String::as_str));
     if as_json {
-        let json = serde_json::to_string(&story).unwrap_or_default();
+        let json = serde_json::to_string(&timeline).unwrap_or_default();
         println!("{json}");
         return Ok(());
     }
-    print!("{}", as_text(id, &story));
+    print!("{}", as_text(id, &timeline));
     Ok(())
 }
--- a/crates/sloetrail-cli/src/failure.rs
+++ b/crates/sloetrail-cli/src/failure.rs
@@ -6,7 +6,7 @@
 const EXIT_REFUSED: u8 = 1;
 const EXIT_USAGE: u8 = 2;
 const EXIT_UNREACHABLE: u8 = 3;
-const EXIT_UNKNOWN: u8 = 4;
+const EXIT_OUTCOME_UNKNOWN: u8 = 4;
 
 /// A command's failure, as a problem document.
 #[derive(Debug)]
@@ -69,7 +69,7 @@
 impl From<Problem> for Failure {
     fn from(problem: Problem) -> Self {
         let exit_code = match problem.kind {
-            Kind::OutcomeUnknown => EXIT_UNKNOWN,
+            Kind::OutcomeUnknown => EXIT_OUTCOME_UNKNOWN,
             Kind::NotRun | Kind::RanAndFailed => EXIT_REFUSED,
         };
         Self { problem, exit_code }
--- a/crates/sloetrail-cli/src/log_story.rs
+++ b/crates/sloetrail-cli/src/log_timeline.rs
@@ -1,6 +1,6 @@
-//! The story of one request, batch or item, gathered from the logs of several nodes.
+//! The timeline of one request, batch or item, gathered from the logs of several nodes.
 //!
-//! A line belongs to the story if a field of its decision is the id asked for; for an
+//! A line belongs to the timeline if a field of its decision is the id asked for; for an
 //! item its batch's lines belong to it as well, but not those of the batch's other
 //! items. Each node's lines keep the order in which the node wrote them; between nodes
 //! the time decides, so that clocks that disagree shift whole nodes and mix no lines.
@@ -32,14 +32,14 @@
     pub(crate) decision: Map<String, Value>,
 }
 
-/// The story of an id.
+/// The timeline of an id.
 #[derive(Debug, Default, Serialize)]
-pub(crate) struct Story {
+pub(crate) struct Timeline {
     /// The lines in order.
     pub(crate) lines: Vec<LogLine>,
     /// Nodes that dropped lines between the first and the last line, with how many.
     pub(crate) dropped: BTreeMap<String, u64>,
-    /// Nodes whose time of day went back, with by how many milliseconds at most.
+    /// Nodes whose time of day went back, with by how many milliseconds at largest.
     pub(crate) clocks_back_ms: BTreeMap<String, u64>,
     /// Lines of the logs that could not be read.
     pub(crate) unreadable: usize,
@@ -62,7 +62,7 @@
         self.decision.get(name).and_then(Value::as_str)
     }
 
-    fn names(&self, ids: &BTreeSet<String>) -> bool {
+    fn mentions(&self, ids: &BTreeSet<String>) -> bool {
         let values = self.decision.values();
         let mut texts = values.filter_map(Value::as_str);
         texts.any(|value| ids.contains(value))
@@ -74,9 +74,9 @@
     }
 }
 
-/// Gathers the story of an id from the texts of logs.
-pub(crate) fn gather<'a>(id: &str, logs: impl IntoIterator<Item = &'a str>) -> Story {
-    let mut story = Story::default();
+/// Gathers the timeline of an id from the texts of logs.
+pub(crate) fn gather<'a>(id: &str, logs: impl IntoIterator<Item = &'a str>) -> Timeline {
+    let mut timeline = Timeline::default();
     let mut by_node: BTreeMap<String, VecDeque<LogLine>> = BTreeMap::new();
     for text in logs.into_iter().flat_map(str::lines) {
         if text.trim().is_empty() {
@@ -87,20 +87,20 @@
                 .entry(line.node.clone())
                 .or_default()
                 .push_back(line),
-            None => story.unreadable += 1,
+            None => timeline.unreadable += 1,
         }
     }
     let ids = related_ids(id, by_node.values().flatten());
     let is_item = ids.len() > 1;
-    note_clocks(&mut story, &by_node);
+    record_clock_steps(&mut timeline, &by_node);
     let own = by_node.iter().map(|(node, lines)| {
-        let named = lines.iter().filter(|line| line.names(&ids));
+        let named = lines.iter().filter(|line| line.mentions(&ids));
         let named = named.filter(|line| !is_item || !line.is_about_another_item(&ids));
         (node.clone(), named.cloned().collect())
     });
-    story.lines = merge(own.collect());
-    note_dropped(&mut story, &by_node);
-    story
+    timeline.lines = merge(own.collect());
+    record_dropped_lines(&mut timeline, &by_node);
+    timeline
 }
 
 /// The id and, for an item, its batch; for a reward call, its item and batch.
@@ -131,22 +131,22 @@
     }
 }
 
-fn note_clocks(story: &mut Story, by_node: &BTreeMap<String, VecDeque<LogLine>>) {
+fn record_clock_steps(timeline: &mut Timeline, by_node: &BTreeMap<String, VecDeque<LogLine>>) {
     for (node, lines) in by_node {
         let mut latest = 0;
         for line in lines {
             let back = u64::saturating_sub(latest, line.time_ms);
             latest = latest.max(line.time_ms);
             if back > 0 {
-                let most = story.clocks_back_ms.entry(node.clone()).or_default();
-                *most = (*most).max(back);
+                let largest = timeline.clocks_back_ms.entry(node.clone()).or_default();
+                *largest = (*largest).max(back);
             }
         }
     }
 }
 
-fn note_dropped(story: &mut Story, by_node: &BTreeMap<String, VecDeque<LogLine>>) {
-    let times = story.lines.iter().map(|line| line.time_ms);
+fn record_dropped_lines(timeline: &mut Timeline, by_node: &BTreeMap<String, VecDeque<LogLine>>) {
+    let times = timeline.lines.iter().map(|line| line.time_ms);
     let (Some(first), Some(last)) = (times.clone().min(), times.max()) else {
         return;
     };
@@ -160,22 +160,22 @@
         };
         let dropped: u64 = within.map(count).sum();
         if dropped > 0 {
-            story.dropped.insert(node.clone(), dropped);
+            timeline.dropped.insert(node.clone(), dropped);
         }
     }
 }
 
-/// The story for people.
-pub(crate) fn as_text(id: &str, story: &Story) -> String {
+/// The timeline for people.
+pub(crate) fn as_text(id: &str, timeline: &Timeline) -> String {
     let mut text = String::new();
-    let start = story.lines.first().map_or(0, |line| line.time_ms);
-    for line in &story.lines {
+    let start = timeline.lines.first().map_or(0, |line| line.time_ms);
+    for line in &timeline.lines {
         let after = line.time_ms as i64 - start as i64;
         let fields: Vec<String> = line
             .decision
             .iter()
             .filter(|(name, _)| name.as_str() != EVENT)
-            .map(|(name, value)| format!("{name}={}", plain(value)))
+            .map(|(name, value)| format!("{name}={}", plain_value(value)))
             .collect();
         // Writing to a string cannot fail.
         let _ = writeln!(
@@ -187,22 +187,22 @@
             fields.join(" ")
         );
     }
-    if story.lines.is_empty() {
+    if timeline.lines.is_empty() {
         let _ = writeln!(text, "no line names {id}");
     }
-    for (node, count) in &story.dropped {
+    for (node, count) in &timeline.dropped {
         let _ = writeln!(text, "{node} did not write {count} lines in that time");
     }
-    for (node, back) in &story.clocks_back_ms {
+    for (node, back) in &timeline.clocks_back_ms {
         let _ = writeln!(text, "the clock of {node} went back by {back} ms");
     }
-    if story.unreadable > 0 {
-        let _ = writeln!(text, "{} lines could not be read", story.unreadable);
+    if timeline.unreadable > 0 {
+        let _ = writeln!(text, "{} lines could not be read", timeline.unreadable);
     }
     text
 }
 
-fn plain(value: &Value) -> String {
+fn plain_value(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         other => other.to_string(),
--- a/crates/sloetrail-cli/src/main.rs
+++ b/crates/sloetrail-cli/src/main.rs
@@ -10,13 +10,13 @@
 mod arguments;
 mod check;
 mod client;
+mod engine_commands;
 mod explain;
 mod explain_request;
 mod failure;
 mod log_files;
-mod log_story;
+mod log_timeline;
 mod node_metrics;
-mod orders;
 mod reports;
 mod step_report;
 mod usage_report;
@@ -49,8 +49,8 @@
         Some(("apply", matches)) => apply::apply(matches, as_json).await,
         Some(("get", matches)) => reports::get(matches, as_json).await,
         Some(("status", matches)) => reports::status(matches, as_json).await,
-        Some(("drain", matches)) => orders::drain(matches).await,
-        Some(("resume", matches)) => orders::resume(matches).await,
+        Some(("drain", matches)) => engine_commands::drain(matches).await,
+        Some(("resume", matches)) => engine_commands::resume(matches).await,
         Some(("explain", matches)) => explain::explain(matches, as_json),
         Some(("explain-request", matches)) => explain_request::explain_request(matches, as_json),
         Some(("step-report", matches)) => step_report::step_report(matches, as_json),
--- a/crates/sloetrail-cli/src/node_metrics.rs
+++ b/crates/sloetrail-cli/src/node_metrics.rs
@@ -10,9 +10,9 @@
 use tokio::task::JoinSet;
 
 /// A node tells its metrics from memory; one that takes longer is as good as gone.
-const TIMEOUT: Duration = Duration::from_secs(3);
+const SCRAPE_TIMEOUT: Duration = Duration::from_secs(3);
 /// The metrics of a node with 64 routes and services are a tenth of this.
-const ANSWER_LIMIT_BYTES: usize = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
 /// One value of a gauge or counter.
 #[derive(Clone, Debug, PartialEq)]
@@ -44,37 +44,39 @@
     }
 }
 
-/// What the lines of an answer tell.
+/// What the lines of an response tell.
 pub(crate) fn parse(text: &str) -> Vec<Sample> {
     text.lines().filter_map(Sample::parse).collect()
 }
 
 /// What became of the question to one node.
-pub(crate) type Answer = Result<Vec<Sample>, String>;
+pub(crate) type ScrapeResult = Result<Vec<Sample>, String>;
 
 /// Asks all nodes at the same time.
-pub(crate) async fn ask(addresses: &[SocketAddr]) -> BTreeMap<SocketAddr, Answer> {
+pub(crate) async fn scrape_all(addresses: &[SocketAddr]) -> BTreeMap<SocketAddr, ScrapeResult> {
     let http = HttpClient::new();
-    let mut asked = JoinSet::new();
+    let mut scrapes = JoinSet::new();
     for address in addresses.iter().copied() {
         let http = http.clone();
-        asked.spawn(async move { (address, ask_one(&http, address).await) });
+        scrapes.spawn(async move { (address, scrape(&http, address).await) });
     }
-    asked.join_all().await.into_iter().collect()
+    scrapes.join_all().await.into_iter().collect()
 }
 
-async fn ask_one(http: &HttpClient, address: SocketAddr) -> Answer {
+async fn scrape(http: &HttpClient, address: SocketAddr) -> ScrapeResult {
     let request = Request::builder()
         .uri(format!("http://{address}/metrics"))
         .body(Full::new(Bytes::new()))
         .map_err(|error| error.to_string())?;
-    let answer = http.fetch(request, TIMEOUT, ANSWER_LIMIT_BYTES).await;
-    let answer = answer.map_err(|error| match error {
+    let response = http
+        .fetch(request, SCRAPE_TIMEOUT, MAX_RESPONSE_BYTES)
+        .await;
+    let response = response.map_err(|error| match error {
         CallError::NotExecuted { reason } | CallError::Unknown { reason } => reason,
     })?;
-    match answer.status.is_success() {
-        true => Ok(parse(&String::from_utf8_lossy(&answer.body))),
-        false => Err(format!("status {}", answer.status)),
+    match response.status.is_success() {
+        true => Ok(parse(&String::from_utf8_lossy(&response.body))),
+        false => Err(format!("status {}", response.status)),
     }
 }
 
--- a/crates/sloetrail-cli/src/node_metrics/tests.rs
+++ b/crates/sloetrail-cli/src/node_metrics/tests.rs
@@ -1,7 +1,7 @@
 use super::parse;
 
 #[test]
-fn samples_are_read_with_their_labels_and_comments_are_left_out() {
+fn samples_are_parsed_with_labels_and_comments_skipped() {
     let text = "# TYPE a_total counter\na_total 3\n\n\
         b{zone=\"north-a\",kind=\"live\"} 0.25\nnot a sample\nc{zone=\"x\" 1\n";
     let samples = parse(text);
--- a/crates/sloetrail-cli/src/step_report.rs
+++ b/crates/sloetrail-cli/src/step_report.rs
@@ -6,7 +6,7 @@
 
 use crate::failure::Failure;
 use crate::log_files::read_logs;
-use crate::log_story::LogLine;
+use crate::log_timeline::LogLine;
 use clap::ArgMatches;
 use serde::Serialize;
 use serde_json::Value;
@@ -32,7 +32,7 @@
 
 /// A step whose groups became whole.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-struct WholeStep {
+struct StepCompletion {
     /// Its age then, in milliseconds.
     age_ms: u64,
     /// Where that time went.
@@ -55,7 +55,7 @@
     /// How often an owner opened it.
     openings: u64,
     /// Nothing if its groups did not become whole within the logs.
-    whole: Option<WholeStep>,
+    whole: Option<StepCompletion>,
 }
 
 /// All steps, by the time at which they were accepted.
@@ -90,7 +90,7 @@
         };
         let step = steps.entry(batch.clone()).or_default();
         step.batch = batch;
-        take(step, &line);
+        apply_line(step, &line);
     }
     let mut report = StepReport::default();
     for step in steps.into_values() {
@@ -103,7 +103,7 @@
     report
 }
 
-fn take(step: &mut Step, line: &LogLine) {
+fn apply_line(step: &mut Step, line: &LogLine) {
     let number = |name: &str| line.decision.get(name).and_then(Value::as_u64);
     match line.event() {
         "batch_accepted" => {
@@ -117,7 +117,7 @@
         }
         "step_whole" => {
             let part = |name: &str| number(name).unwrap_or_default();
-            step.whole = Some(WholeStep {
+            step.whole = Some(StepCompletion {
                 age_ms: part("age_ms"),
                 parts: StepParts {
                     before_opening_ms: part("opened_ms"),
@@ -138,10 +138,10 @@
 
 impl StepReport {
     fn add(&mut self, step: Step) {
-        if let Some(whole) = &step.whole {
-            self.age_ms += whole.age_ms;
-            self.least_ms += whole.least_ms;
-            self.sums.add(&whole.parts);
+        if let Some(completed) = &step.whole {
+            self.age_ms += completed.age_ms;
+            self.least_ms += completed.least_ms;
+            self.sums.add(&completed.parts);
         }
         self.steps.push(step);
     }
@@ -199,36 +199,36 @@
             "{:<18} {at:>8} {:>6} {:>6} ",
             step.batch, step.items, step.openings
         );
-        let Some(whole) = &step.whole else {
+        let Some(completed) = &step.whole else {
             let _ = writeln!(text, "not whole");
             continue;
         };
-        let _ = write!(text, "{:>7} ", whole.age_ms);
-        for (_, part) in whole.parts.named() {
+        let _ = write!(text, "{:>7} ", completed.age_ms);
+        for (_, part) in completed.parts.named() {
             let _ = write!(text, "{part:>7} ");
         }
-        let _ = writeln!(text, "{:>7} {:>5}", whole.least_ms, whole.runs);
+        let _ = writeln!(text, "{:>7} {:>5}", completed.least_ms, completed.runs);
     }
     write_summary(&mut text, report);
     text
 }
 
 fn write_summary(text: &mut String, report: &StepReport) {
-    let whole = report.steps.iter().filter(|step| step.whole.is_some());
-    let whole = whole.count() as u64;
-    let not_whole = report.steps.len() as u64 - whole;
-    let _ = writeln!(text, "{whole} steps whole, {not_whole} not");
-    if whole == 0 {
+    let completed = report.steps.iter().filter(|step| step.whole.is_some());
+    let completed = completed.count() as u64;
+    let incomplete = report.steps.len() as u64 - completed;
+    let _ = writeln!(text, "{completed} steps whole, {incomplete} not");
+    if completed == 0 {
         return;
     }
     let parts = report.sums.named();
-    let means = parts.map(|(name, sum)| format!("{name} {}", sum / whole));
+    let means = parts.map(|(name, sum)| format!("{name} {}", sum / completed));
     let _ = writeln!(
         text,
         "mean age {} ms ({}), least {} ms",
-        report.age_ms / whole,
+        report.age_ms / completed,
         means.join(", "),
-        report.least_ms / whole
+        report.least_ms / completed
     );
 }
 
--- a/crates/sloetrail-cli/src/step_report/tests.rs
+++ b/crates/sloetrail-cli/src/step_report/tests.rs
@@ -6,7 +6,7 @@
     line.to_string()
 }
 
-fn whole(batch: &str, age_ms: u64, opened_ms: u64) -> serde_json::Value {
+fn completed(batch: &str, age_ms: u64, opened_ms: u64) -> serde_json::Value {
     json!({"event": "step_whole", "batch": batch, "groups": 2, "age_ms": age_ms,
         "opened_ms": opened_ms, "item": "i7", "wanted": true, "waiting_ms": 10,
         "running_ms": age_ms - opened_ms - 60, "between_runs_ms": 5, "scoring_ms": 30,
@@ -31,7 +31,7 @@
         line(5_050, "n1", opened("b2", 0)),
     ];
     let second = [
-        line(3_000, "n2", whole("b1", 2_000, 50)),
+        line(3_000, "n2", completed("b1", 2_000, 50)),
         line(7_000, "n2", opened("b2", 3)),
         line(
             7_200,
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn parts_add_up_and_steps_that_did_not_become_whole_are_told() {
+fn phases_add_up_and_incomplete_steps_are_listed() {
     let logs = logs();
     let report = gather(logs.iter().map(String::as_str));
     assert_eq!(
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn logs_without_steps_make_an_empty_report() {
+fn logs_without_steps_give_an_empty_report() {
     let report = gather(["", "{}", "{\"time_ms\":1}"]);
     assert!(report.steps.is_empty());
     assert!(as_text(&report).ends_with("0 steps whole, 0 not\n"));
--- a/crates/sloetrail-cli/src/usage_report.rs
+++ b/crates/sloetrail-cli/src/usage_report.rs
@@ -3,7 +3,7 @@
 
 use crate::failure::Failure;
 use crate::log_files::read_logs;
-use crate::log_story::LogLine;
+use crate::log_timeline::LogLine;
 use clap::ArgMatches;
 use serde::Serialize;
 use serde_json::Value;
--- a/crates/sloetrail-cli/src/usage_report/tests.rs
+++ b/crates/sloetrail-cli/src/usage_report/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn windows_that_were_taken_sent_again_or_are_missing_are_told_apart() {
+fn accepted_resent_and_missing_windows_are_distinguished() {
     let first = [
         line(1_000, "n1", reported(10, 7, 1, "accepted")),
         line(6_000, "n1", reported(11, 5, 1, "not now")),
--- a/crates/sloetrail-cli/src/zones.rs
+++ b/crates/sloetrail-cli/src/zones.rs
@@ -1,7 +1,7 @@
 //! `zones`: where the evacuation of zones stands, from the metrics of several nodes.
 
 use crate::failure::Failure;
-use crate::node_metrics::{self, Answer, Sample};
+use crate::node_metrics::{self, Sample, ScrapeResult};
 use clap::ArgMatches;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -38,7 +38,7 @@
 pub(crate) async fn zones(matches: &ArgMatches, as_json: bool) -> Result<(), Failure> {
     let addresses = matches.get_many::<SocketAddr>("addresses");
     let addresses: Vec<SocketAddr> = addresses.into_iter().flatten().copied().collect();
-    let report = gather(node_metrics::ask(&addresses).await);
+    let report = gather(node_metrics::scrape_all(&addresses).await);
     if report.answered == 0 {
         let reasons = report.silent.iter();
         let reasons: Vec<String> = reasons
@@ -53,13 +53,13 @@
     Ok(())
 }
 
-fn gather(answers: BTreeMap<SocketAddr, Answer>) -> ZonesReport {
+fn gather(answers: BTreeMap<SocketAddr, ScrapeResult>) -> ZonesReport {
     let mut report = ZonesReport::default();
     for (address, answer) in answers {
         match answer {
             Ok(samples) => {
                 report.answered += 1;
-                take_node(&mut report.zones, &samples);
+                add_node(&mut report.zones, &samples);
             }
             Err(reason) => {
                 report.silent.insert(address, reason);
@@ -71,7 +71,7 @@
 
 /// Takes in one node. What runs in a zone whose evacuation is not in force there, or no
 /// more, does not count.
-fn take_node(zones: &mut BTreeMap<String, EvacuatedZone>, samples: &[Sample]) {
+fn add_node(zones: &mut BTreeMap<String, EvacuatedZone>, samples: &[Sample]) {
     let in_force = samples.iter().filter(|sample| sample.name == SECONDS);
     for sample in in_force.filter(|sample| sample.value > 0.0) {
         let Some(name) = sample.labels.get("zone") else {
@@ -80,17 +80,17 @@
         let zone = zones.entry(name.clone()).or_default();
         zone.nodes += 1;
         zone.seconds = zone.seconds.max(sample.value);
-        zone.live += running(samples, name, "live");
-        zone.items += running(samples, name, "items");
+        zone.live += running_count(samples, name, "live");
+        zone.items += running_count(samples, name, "items");
     }
 }
 
-fn running(samples: &[Sample], zone: &str, kind: &str) -> u64 {
-    let is_meant = |sample: &&Sample| {
+fn running_count(samples: &[Sample], zone: &str, kind: &str) -> u64 {
+    let is_match = |sample: &&Sample| {
         let label = |name: &str| sample.labels.get(name).map(String::as_str);
         sample.name == RUNNING && label("zone") == Some(zone) && label("kind") == Some(kind)
     };
-    let found = samples.iter().find(is_meant);
+    let found = samples.iter().find(is_match);
     found.map_or(0, |sample| sample.value as u64)
 }
 
--- a/crates/sloetrail-cli/src/zones/tests.rs
+++ b/crates/sloetrail-cli/src/zones/tests.rs
@@ -1,5 +1,5 @@
 use super::{as_text, gather};
-use crate::node_metrics::{Answer, parse};
+use crate::node_metrics::{ScrapeResult, parse};
 use std::net::SocketAddr;
 
 fn node(number: u16) -> SocketAddr {
@@ -14,19 +14,19 @@
     )
 }
 
-fn told(texts: &[&str]) -> Answer {
+fn scraped(texts: &[&str]) -> ScrapeResult {
     Ok(parse(&texts.concat()))
 }
 
 #[test]
-fn zones_are_told_with_the_nodes_on_which_they_are_evacuated_and_what_runs_there() {
+fn evacuated_zones_list_their_nodes_and_running_work() {
     let both = [metrics("north", 12.25, 1, 3), metrics("south", 2.0, 0, 0)];
     let withdrawn = metrics("north", 0.0, 9, 9);
     let answers = [
-        (node(1), told(&[&both[0], &both[1]])),
-        (node(2), told(&[&metrics("north", 11.0, 0, 2)])),
-        (node(3), told(&[&withdrawn])),
-        (node(4), told(&["sloetrail_zones_evacuated 0\n"])),
+        (node(1), scraped(&[&both[0], &both[1]])),
+        (node(2), scraped(&[&metrics("north", 11.0, 0, 2)])),
+        (node(3), scraped(&[&withdrawn])),
+        (node(4), scraped(&["sloetrail_zones_evacuated 0\n"])),
         (node(5), Err("connection refused".to_owned())),
     ];
     let report = gather(answers.into());
--- a/crates/sloetrail-cli/tests/commands.rs
+++ b/crates/sloetrail-cli/tests/commands.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn both_users_files_are_valid() {
+fn example_service_files_are_valid() {
     for file in ["examples/oyelaran.toml", "examples/maelir.toml"] {
         let output = sloetrail(&["validate", &repository(file)]);
         assert!(output.status.success(), "{file}");
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_faulty_file_is_refused_with_its_place() {
+fn invalid_file_is_refused_with_line_and_field() {
     let path = file_with("faulty.toml", "version = 1\n[[zone]]\nname = \"a b\"\n");
     let output = sloetrail(&["--output", "json", "validate", &path.display().to_string()]);
     std::fs::remove_file(path).expect("it is there");
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn codes_are_explained() {
+fn result_codes_are_explained() {
     let output = sloetrail(&["explain", "1107"]);
     insta::assert_snapshot!(stdout(&output).trim_end(), @r"
     1107 table unavailable
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn an_unreachable_node_has_its_own_exit_code() {
+fn unreachable_node_gives_exit_code_3() {
     // A port that was free a moment ago and that nobody listens on.
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound").to_string();
@@ -69,20 +69,20 @@
 }
 
 #[test]
-fn evacuated_zones_are_told_from_the_metrics_of_the_nodes_that_answer() {
+fn evacuated_zones_are_read_from_node_metrics() {
     use std::io::{Read, Write};
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound").to_string();
     let node = std::thread::spawn(move || {
         let (mut caller, _) = listener.accept().expect("a caller");
-        let mut question = [0; 1_024];
-        let length = caller.read(&mut question).expect("a question");
+        let mut request = [0; 1_024];
+        let length = caller.read(&mut request).expect("a request");
         let body = "sloetrail_evacuation_seconds{zone=\"north\"} 4.5\n\
             sloetrail_evacuation_running{zone=\"north\",kind=\"items\"} 3\n";
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         caller.write_all(head.as_bytes()).expect("it is taken");
         caller.write_all(body.as_bytes()).expect("it is taken");
-        String::from_utf8_lossy(&question[..length]).into_owned()
+        String::from_utf8_lossy(&request[..length]).into_owned()
     });
     let output = sloetrail(&["zones", &address]);
     assert!(output.status.success());
@@ -90,24 +90,24 @@
         stdout(&output),
         "zone, in force on, since, live, items\nnorth 1 of 1 nodes 4.5 s 0 3\n"
     );
-    let question = node.join().expect("it was asked");
-    assert!(question.starts_with("GET /metrics HTTP/1.1"), "{question}");
+    let request = node.join().expect("it was asked");
+    assert!(request.starts_with("GET /metrics HTTP/1.1"), "{request}");
 }
 
 #[test]
-fn a_history_is_judged_and_unchecked_does_not_pass() {
-    let held = "{\"at_us\":1,\"event\":\"request_sent\",\"send\":\"a\",\"marker\":\"a\",\
+fn check_fails_for_violated_or_unchecked_invariants() {
+    let history = "{\"at_us\":1,\"event\":\"request_sent\",\"send\":\"a\",\"marker\":\"a\",\
         \"node\":\"n\",\"class\":\"repeatable\",\"key\":null}\n\
         {\"at_us\":2,\"event\":\"request_ended\",\"send\":\"a\",\"outcome\":{\"answered\":\
         {\"marker\":\"a\",\"whole\":true,\"revision\":1}}}\n";
-    let path = file_with("history.jsonl", held).display().to_string();
+    let path = file_with("history.jsonl", history).display().to_string();
     let only = sloetrail(&["check", &path, "--only", "I4"]);
     assert!(only.status.success());
     assert_eq!(stdout(&only), "I4 held checked=1\n");
     let all = sloetrail(&["check", &path]);
     assert_eq!(all.status.code(), Some(1));
     assert!(stdout(&all).contains("I5 unchecked"));
-    let crossed = held.replace("{\"marker\":\"a\"", "{\"marker\":\"b\"");
+    let crossed = history.replace("{\"marker\":\"a\"", "{\"marker\":\"b\"");
     let path = file_with("crossed.jsonl", &crossed).display().to_string();
     let violated = sloetrail(&["check", &path, "--only", "I4"]);
     assert_eq!(violated.status.code(), Some(1));
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn traces_are_replayed() {
+fn trace_replay_compares_all_outcomes() {
     let output = sloetrail(&["replay", &repository("traces/withdrawn-sample.jsonl")]);
     assert!(output.status.success());
     assert!(stdout(&output).contains("7 outcomes compared"));
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn the_story_of_an_item_is_gathered_from_several_nodes() {
+fn item_timeline_merges_logs_of_several_nodes() {
     use serde_json::json;
     let first = [
         log_line(
@@ -181,8 +181,8 @@
     1 lines could not be read
     ");
     let output = sloetrail(&["--output", "json", "explain-request", "i2", &first, &second]);
-    let story: serde_json::Value = serde_json::from_str(&stdout(&output)).expect("JSON");
-    assert_eq!(story["lines"][0]["decision"]["event"], "batch_accepted");
+    let timeline: serde_json::Value = serde_json::from_str(&stdout(&output)).expect("JSON");
+    assert_eq!(timeline["lines"][0]["decision"]["event"], "batch_accepted");
     let output = sloetrail(&["explain-request", "nobody", &first]);
     assert!(stdout(&output).contains("no line names nobody"));
     assert_eq!(
--- a/crates/sloetraild/src/main.rs
+++ b/crates/sloetraild/src/main.rs
@@ -15,8 +15,8 @@
 use std::process::ExitCode;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-const EXIT_SETTINGS: u8 = 2;
-const EXIT_START: u8 = 3;
+const EXIT_INVALID_SETTINGS: u8 = 2;
+const EXIT_START_FAILED: u8 = 3;
 
 fn main() -> ExitCode {
     let matches = command_line::command().get_matches();
@@ -24,7 +24,7 @@
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("sloetraild: {error}");
-            return ExitCode::from(EXIT_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if matches.get_flag("check-settings") {
@@ -58,7 +58,7 @@
     let level = level.copied().unwrap_or(LevelFilter::Info);
     if let Err(error) = start_logging(format, level, settings.node.as_str()) {
         eprintln!("sloetraild: {error}");
-        return ExitCode::from(EXIT_START);
+        return ExitCode::from(EXIT_START_FAILED);
     }
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
@@ -67,7 +67,7 @@
         Ok(runtime) => runtime.block_on(serve(settings)),
         Err(error) => {
             eprintln!("sloetraild: the runtime cannot start: {error}");
-            ExitCode::from(EXIT_START)
+            ExitCode::from(EXIT_START_FAILED)
         }
     }
 }
@@ -79,7 +79,7 @@
         Ok(signals) => signals,
         Err(error) => {
             eprintln!("sloetraild: signals cannot be awaited: {error}");
-            return ExitCode::from(EXIT_START);
+            return ExitCode::from(EXIT_START_FAILED);
         }
     };
     match Node::start(settings).await {
@@ -90,18 +90,18 @@
                 node.http_address(),
                 node.gossip_address()
             );
-            stop_signal(terminate, interrupt).await;
+            wait_for_stop_signal(terminate, interrupt).await;
             node.stop().await;
             ExitCode::SUCCESS
         }
         Err(error) => {
             eprintln!("sloetraild: {error}");
-            ExitCode::from(EXIT_START)
+            ExitCode::from(EXIT_START_FAILED)
         }
     }
 }
 
-async fn stop_signal(mut terminate: Signal, mut interrupt: Signal) {
+async fn wait_for_stop_signal(mut terminate: Signal, mut interrupt: Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
--- a/crates/sloetraild/tests/settings.rs
+++ b/crates/sloetraild/tests/settings.rs
@@ -16,13 +16,13 @@
 }
 
 #[test]
-fn the_example_is_sound() {
+fn example_settings_are_valid() {
     let output = daemon(&["--settings", EXAMPLE, "--check-settings"]);
     assert!(output.status.success(), "{}", error_text(&output));
 }
 
 #[test]
-fn the_example_holds_every_default() {
+fn example_settings_match_the_default_bounds() {
     let text = std::fs::read_to_string(EXAMPLE).expect("readable");
     let overrides = sloetrail_config::SettingsOverrides::default();
     let settings = sloetrail_config::NodeSettings::parse("node.toml", &text, &overrides);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_wrong_setting_ends_with_code_2_and_names_field_and_code() {
+fn invalid_setting_is_reported_with_field_and_code() {
     let output = daemon(&["--settings", EXAMPLE, "--connection-limit", "0"]);
     assert_eq!(output.status.code(), Some(2));
     let text = error_text(&output);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_missing_setting_and_a_missing_file_are_told_apart() {
+fn missing_setting_and_missing_file_give_different_errors() {
     let output = daemon(&["--zone", "hfj"]);
     assert!(error_text(&output).contains("node: this setting is required"));
     let output = daemon(&["--settings", "no-such-file.toml"]);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn every_flag_has_help() {
+fn help_lists_example_and_settings() {
     let output = daemon(&["--help"]);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(text.contains("Example: sloetraild --settings"));
