--- a/crates/sloetrail-cli/src/log_story.rs
+++ b/crates/sloetrail-cli/src/log_timeline.rs
@@ -1,82 +1,79 @@
-//! The story of one request, batch or item, gathered from the logs of several nodes.
+//! The timeline of one request, batch or item, from the logs of several nodes.
 //!
-//! A line belongs to the story if a field of its decision is the id asked for; for an
-//! item its batch's lines belong to it as well, but not those of the batch's other
-//! items. Each node's lines keep the order in which the node wrote them; between nodes
-//! the time decides, so that clocks that disagree shift whole nodes and mix no lines.
+//! A line is included if a field of its decision equals the requested id. For an item,
+//! lines about its batch are included too, except lines about other items of that batch.
+//! Lines of one node keep their written order; lines of different nodes are merged by
+//! time, so clock skew between nodes never reorders the lines of one node.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt::Write;
 
-/// Fields of a decision.
 const EVENT: &str = "event";
 const ITEM: &str = "item";
 const BATCH: &str = "batch";
 const REWARD: &str = "reward";
-/// The event that tells of lines that were not written.
+/// Event that counts log lines dropped by the writer.
 const DROPPED: &str = "lines_dropped";
 
-/// One line of a log.
+/// One structured log line.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LogLine {
-    /// The writer's time of day, in milliseconds.
+    /// Wall-clock time of the writing node, in milliseconds since the Unix epoch.
     pub(crate) time_ms: u64,
-    /// The writer.
     pub(crate) node: String,
-    /// The part of the program.
+    /// Component that wrote the line.
     pub(crate) part: String,
-    /// The decision.
+    /// Event name and fields.
     #[serde(default)]
     pub(crate) decision: Map<String, Value>,
 }
 
-/// The story of an id.
+/// Log lines about one id, with known gaps in the logs.
 #[derive(Debug, Default, Serialize)]
-pub(crate) struct Story {
-    /// The lines in order.
+pub(crate) struct Timeline {
     pub(crate) lines: Vec<LogLine>,
-    /// Nodes that dropped lines between the first and the last line, with how many.
+    /// Number of lines dropped between the first and the last line, per node.
     pub(crate) dropped: BTreeMap<String, u64>,
-    /// Nodes whose time of day went back, with by how many milliseconds at most.
+    /// Largest backward step of the wall clock in milliseconds, per node.
     pub(crate) clocks_back_ms: BTreeMap<String, u64>,
-    /// Lines of the logs that could not be read.
+    /// Number of log lines that could not be parsed.
     pub(crate) unreadable: usize,
 }
 
 impl LogLine {
-    /// Reads a line; whatever stands before its first brace is left out.
+    /// Parses a line. A prefix before the first brace is ignored.
     pub(crate) fn parse(text: &str) -> Option<Self> {
         let start = text.find('{')?;
         serde_json::from_str(&text[start..]).ok()
     }
 
-    /// The name of the decision.
+    /// Returns the event name, or "-" if there is none.
     pub(crate) fn event(&self) -> &str {
         self.field(EVENT).unwrap_or("-")
     }
 
-    /// A field of the decision that is a text.
+    /// Returns a string field of the decision.
     pub(crate) fn field(&self, name: &str) -> Option<&str> {
         self.decision.get(name).and_then(Value::as_str)
     }
 
-    fn names(&self, ids: &BTreeSet<String>) -> bool {
+    fn mentions(&self, ids: &BTreeSet<String>) -> bool {
         let values = self.decision.values();
         let mut texts = values.filter_map(Value::as_str);
         texts.any(|value| ids.contains(value))
     }
 
-    /// True if the line is about an item that is not among these.
+    /// Returns true if the line has an item that is not in `ids`.
     fn is_about_another_item(&self, ids: &BTreeSet<String>) -> bool {
         self.field(ITEM).is_some_and(|item| !ids.contains(item))
     }
 }
 
-/// Gathers the story of an id from the texts of logs.
-pub(crate) fn gather<'a>(id: &str, logs: impl IntoIterator<Item = &'a str>) -> Story {
-    let mut story = Story::default();
+/// Builds the timeline of an id from the contents of log files.
+pub(crate) fn gather<'a>(id: &str, logs: impl IntoIterator<Item = &'a str>) -> Timeline {
+    let mut timeline = Timeline::default();
     let mut by_node: BTreeMap<String, VecDeque<LogLine>> = BTreeMap::new();
     for text in logs.into_iter().flat_map(str::lines) {
         if text.trim().is_empty() {
@@ -87,23 +84,23 @@
                 .entry(line.node.clone())
                 .or_default()
                 .push_back(line),
-            None => story.unreadable += 1,
+            None => timeline.unreadable += 1,
         }
     }
     let ids = related_ids(id, by_node.values().flatten());
     let is_item = ids.len() > 1;
-    note_clocks(&mut story, &by_node);
-    let own = by_node.iter().map(|(node, lines)| {
-        let named = lines.iter().filter(|line| line.names(&ids));
-        let named = named.filter(|line| !is_item || !line.is_about_another_item(&ids));
-        (node.clone(), named.cloned().collect())
+    record_clock_steps(&mut timeline, &by_node);
+    let matching_by_node = by_node.iter().map(|(node, lines)| {
+        let matching = lines.iter().filter(|line| line.mentions(&ids));
+        let matching = matching.filter(|line| !is_item || !line.is_about_another_item(&ids));
+        (node.clone(), matching.cloned().collect())
     });
-    story.lines = merge(own.collect());
-    note_dropped(&mut story, &by_node);
-    story
+    timeline.lines = merge(matching_by_node.collect());
+    record_dropped_lines(&mut timeline, &by_node);
+    timeline
 }
 
-/// The id and, for an item, its batch; for a reward call, its item and batch.
+/// Returns the id and, for an item, its batch; for a reward call, its item and batch.
 fn related_ids<'a>(id: &str, lines: impl Iterator<Item = &'a LogLine>) -> BTreeSet<String> {
     let mut ids = BTreeSet::from([id.to_owned()]);
     for line in lines {
@@ -116,7 +113,7 @@
     ids
 }
 
-/// Merges the nodes' lines by time without changing the order of any node.
+/// Merges the lines of all nodes by time and keeps the order of lines within each node.
 fn merge(mut by_node: BTreeMap<String, VecDeque<LogLine>>) -> Vec<LogLine> {
     let mut merged = Vec::new();
     loop {
@@ -131,22 +128,22 @@
     }
 }
 
-fn note_clocks(story: &mut Story, by_node: &BTreeMap<String, VecDeque<LogLine>>) {
+fn record_clock_steps(timeline: &mut Timeline, by_node: &BTreeMap<String, VecDeque<LogLine>>) {
     for (node, lines) in by_node {
         let mut latest = 0;
         for line in lines {
             let back = u64::saturating_sub(latest, line.time_ms);
             latest = latest.max(line.time_ms);
             if back > 0 {
-                let most = story.clocks_back_ms.entry(node.clone()).or_default();
-                *most = (*most).max(back);
+                let largest = timeline.clocks_back_ms.entry(node.clone()).or_default();
+                *largest = (*largest).max(back);
             }
         }
     }
 }
 
-fn note_dropped(story: &mut Story, by_node: &BTreeMap<String, VecDeque<LogLine>>) {
-    let times = story.lines.iter().map(|line| line.time_ms);
+fn record_dropped_lines(timeline: &mut Timeline, by_node: &BTreeMap<String, VecDeque<LogLine>>) {
+    let times = timeline.lines.iter().map(|line| line.time_ms);
     let (Some(first), Some(last)) = (times.clone().min(), times.max()) else {
         return;
     };
@@ -160,24 +157,24 @@
         };
         let dropped: u64 = within.map(count).sum();
         if dropped > 0 {
-            story.dropped.insert(node.clone(), dropped);
+            timeline.dropped.insert(node.clone(), dropped);
         }
     }
 }
 
-/// The story for people.
-pub(crate) fn as_text(id: &str, story: &Story) -> String {
+/// Renders the timeline as text.
+pub(crate) fn as_text(id: &str, timeline: &Timeline) -> String {
     let mut text = String::new();
-    let start = story.lines.first().map_or(0, |line| line.time_ms);
-    for line in &story.lines {
+    let start = timeline.lines.first().map_or(0, |line| line.time_ms);
+    for line in &timeline.lines {
         let after = line.time_ms as i64 - start as i64;
         let fields: Vec<String> = line
             .decision
             .iter()
             .filter(|(name, _)| name.as_str() != EVENT)
-            .map(|(name, value)| format!("{name}={}", plain(value)))
+            .map(|(name, value)| format!("{name}={}", plain_value(value)))
             .collect();
-        // Writing to a string cannot fail.
+        // Writing to a `String` is infallible.
         let _ = writeln!(
             text,
             "{after:>8} ms  {:<22} [{}] {}: {}",
@@ -187,22 +184,22 @@
             fields.join(" ")
         );
     }
-    if story.lines.is_empty() {
-        let _ = writeln!(text, "no line names {id}");
+    if timeline.lines.is_empty() {
+        let _ = writeln!(text, "no log line mentions {id}");
     }
-    for (node, count) in &story.dropped {
+    for (node, count) in &timeline.dropped {
         let _ = writeln!(text, "{node} did not write {count} lines in that time");
     }
-    for (node, back) in &story.clocks_back_ms {
+    for (node, back) in &timeline.clocks_back_ms {
         let _ = writeln!(text, "the clock of {node} went back by {back} ms");
     }
-    if story.unreadable > 0 {
-        let _ = writeln!(text, "{} lines could not be read", story.unreadable);
+    if timeline.unreadable > 0 {
+        let _ = writeln!(text, "{} lines could not be read", timeline.unreadable);
     }
     text
 }
 
-fn plain(value: &Value) -> String {
+fn plain_value(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         other => other.to_string(),
--- a/crates/sloetraild/src/main.rs
+++ b/crates/sloetraild/src/main.rs
@@ -1,7 +1,7 @@
 //! The sloetrail node daemon.
 //!
-//! Reads its settings from a file and flags, starts one node, and leaves in an
-//! orderly way on SIGTERM or SIGINT.
+//! Reads its settings from a file and flags, starts one node, and shuts down
+//! gracefully on SIGTERM or SIGINT.
 
 #![forbid(unsafe_code)]
 
@@ -15,8 +15,8 @@
 use std::process::ExitCode;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-const EXIT_SETTINGS: u8 = 2;
-const EXIT_START: u8 = 3;
+const EXIT_INVALID_SETTINGS: u8 = 2;
+const EXIT_START_FAILED: u8 = 3;
 
 fn main() -> ExitCode {
     let matches = command_line::command().get_matches();
@@ -24,7 +24,7 @@
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("sloetraild: {error}");
-            return ExitCode::from(EXIT_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if matches.get_flag("check-settings") {
@@ -58,7 +58,7 @@
     let level = level.copied().unwrap_or(LevelFilter::Info);
     if let Err(error) = start_logging(format, level, settings.node.as_str()) {
         eprintln!("sloetraild: {error}");
-        return ExitCode::from(EXIT_START);
+        return ExitCode::from(EXIT_START_FAILED);
     }
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
@@ -66,8 +66,8 @@
     match runtime {
         Ok(runtime) => runtime.block_on(serve(settings)),
         Err(error) => {
-            eprintln!("sloetraild: the runtime cannot start: {error}");
-            ExitCode::from(EXIT_START)
+            eprintln!("sloetraild: failed to build the Tokio runtime: {error}");
+            ExitCode::from(EXIT_START_FAILED)
         }
     }
 }
@@ -78,30 +78,30 @@
     let (terminate, interrupt) = match signals {
         Ok(signals) => signals,
         Err(error) => {
-            eprintln!("sloetraild: signals cannot be awaited: {error}");
-            return ExitCode::from(EXIT_START);
+            eprintln!("sloetraild: failed to install signal handlers: {error}");
+            return ExitCode::from(EXIT_START_FAILED);
         }
     };
     match Node::start(settings).await {
         Ok(node) => {
-            // With port zero in the settings, this is how the ports become known.
+            // Reports the bound ports, which the system chooses if the settings have port 0.
             println!(
                 "listening http={} gossip={}",
                 node.http_address(),
                 node.gossip_address()
             );
-            stop_signal(terminate, interrupt).await;
+            wait_for_stop_signal(terminate, interrupt).await;
             node.stop().await;
             ExitCode::SUCCESS
         }
         Err(error) => {
             eprintln!("sloetraild: {error}");
-            ExitCode::from(EXIT_START)
+            ExitCode::from(EXIT_START_FAILED)
         }
     }
 }
 
-async fn stop_signal(mut terminate: Signal, mut interrupt: Signal) {
+async fn wait_for_stop_signal(mut terminate: Signal, mut interrupt: Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
--- a/crates/sloetraild/tests/settings.rs
+++ b/crates/sloetraild/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings from the outside.
+//! Runs the built daemon to test its settings and flags.
 
 use std::process::{Command, Output};
 
@@ -8,7 +8,7 @@
     Command::new(env!("CARGO_BIN_EXE_sloetraild"))
         .args(arguments)
         .output()
-        .expect("the daemon is built")
+        .expect("failed to run sloetraild")
 }
 
 fn error_text(output: &Output) -> String {
@@ -16,22 +16,22 @@
 }
 
 #[test]
-fn the_example_is_sound() {
+fn example_settings_are_valid() {
     let output = daemon(&["--settings", EXAMPLE, "--check-settings"]);
     assert!(output.status.success(), "{}", error_text(&output));
 }
 
 #[test]
-fn the_example_holds_every_default() {
-    let text = std::fs::read_to_string(EXAMPLE).expect("readable");
+fn example_settings_match_the_default_bounds() {
+    let text = std::fs::read_to_string(EXAMPLE).expect("failed to read the example settings");
     let overrides = sloetrail_config::SettingsOverrides::default();
     let settings = sloetrail_config::NodeSettings::parse("node.toml", &text, &overrides);
-    let settings = settings.expect("sound");
+    let settings = settings.expect("the example settings must be valid");
     assert_eq!(settings.bounds, sloetrail_config::Bounds::default());
 }
 
 #[test]
-fn a_wrong_setting_ends_with_code_2_and_names_field_and_code() {
+fn invalid_setting_is_reported_with_field_and_code() {
     let output = daemon(&["--settings", EXAMPLE, "--connection-limit", "0"]);
     assert_eq!(output.status.code(), Some(2));
     let text = error_text(&output);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_missing_setting_and_a_missing_file_are_told_apart() {
+fn missing_setting_and_missing_file_give_different_errors() {
     let output = daemon(&["--zone", "hfj"]);
     assert!(error_text(&output).contains("node: this setting is required"));
     let output = daemon(&["--settings", "no-such-file.toml"]);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn every_flag_has_help() {
+fn help_lists_example_and_settings() {
     let output = daemon(&["--help"]);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(text.contains("Example: sloetraild --settings"));
