--- a/crates/sloetraild/src/command_line.rs
+++ b/crates/sloetraild/src/command_line.rs
@@ -1,10 +1,10 @@
-//! The daemon's flags: one for each setting.
+//! Command line of the daemon: one flag per setting.
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use log::LevelFilter;
 use sloetrail_config::SettingsOverrides;
 
-/// A setting's key in the file, its flag and its help.
+/// Maps a key of the settings file to a flag.
 struct SettingFlag {
     key: &'static str,
     flag: &'static str,
@@ -15,7 +15,7 @@
     SettingFlag {
         key: "node",
         flag: "node",
-        help: "Name of this life of the node, unique for all time",
+        help: "Name of this incarnation of the node; must never be reused",
     },
     SettingFlag {
         key: "zone",
@@ -25,12 +25,12 @@
     SettingFlag {
         key: "http_address",
         flag: "http-address",
-        help: "IP number and port to serve HTTP on",
+        help: "IP address and port of the HTTP server",
     },
     SettingFlag {
         key: "gossip_address",
         flag: "gossip-address",
-        help: "IP number and UDP port for membership messages",
+        help: "IP address and UDP port for membership messages",
     },
     SettingFlag {
         key: "platform.table",
@@ -55,27 +55,27 @@
     SettingFlag {
         key: "bounds.body_limit_bytes",
         flag: "body-limit-bytes",
-        help: "Largest request body",
+        help: "Maximum size of a request body",
     },
     SettingFlag {
         key: "bounds.answer_limit_bytes",
         flag: "answer-limit-bytes",
-        help: "Largest answer that is passed on",
+        help: "Maximum size of a forwarded response",
     },
     SettingFlag {
         key: "bounds.request_read_timeout_ms",
         flag: "request-read-timeout-ms",
-        help: "Time in which a caller must send its request",
+        help: "Timeout for reading a complete request",
     },
     SettingFlag {
         key: "bounds.connection_limit",
         flag: "connection-limit",
-        help: "Caller connections open at a time",
+        help: "Maximum number of open client connections",
     },
     SettingFlag {
         key: "bounds.header_limit_bytes",
         flag: "header-limit-bytes",
-        help: "Largest request head",
+        help: "Maximum size of a request head",
     },
     SettingFlag {
         key: "bounds.lease_duration_ms",
@@ -85,28 +85,27 @@
     SettingFlag {
         key: "bounds.configuration_freshness_ms",
         flag: "configuration-freshness-ms",
-        help: "Time for which a configuration counts without confirmation",
+        help: "Time for which a configuration stays valid without confirmation",
     },
     SettingFlag {
         key: "bounds.engine_view_freshness_ms",
         flag: "engine-view-freshness-ms",
-        help: "Time for which an engine may be chosen without news of it",
+        help: "Time for which an engine may be selected without an update of its state",
     },
     SettingFlag {
         key: "bounds.drain_timeout_ms",
         flag: "drain-timeout-ms",
-        help: "Time that a stopping node gives to what is in flight",
+        help: "Time that a stopping node allows for requests in flight",
     },
 ];
 
-/// The command line.
 pub(crate) fn command() -> Command {
     let settings = SETTING_FLAGS.iter().map(|setting| {
         Arg::new(setting.key)
             .long(setting.flag)
             .value_name("VALUE")
             .help(setting.help)
-            .help_heading("Settings, which go before the file's")
+            .help_heading("Settings (these override the settings file)")
     });
     Command::new("sloetraild")
         .about("The sloetrail node daemon")
@@ -122,26 +121,26 @@
             Arg::new("check-settings")
                 .long("check-settings")
                 .action(ArgAction::SetTrue)
-                .help("Check the settings and end"),
+                .help("Check the settings and exit"),
         )
         .arg(
             Arg::new("log-format")
                 .long("log-format")
                 .value_parser(["text", "json"])
                 .default_value("text")
-                .help("How log lines look"),
+                .help("Log format"),
         )
         .arg(
             Arg::new("log-level")
                 .long("log-level")
                 .value_parser(value_parser!(LevelFilter))
                 .default_value("info")
-                .help("off, error, warn, info, debug or trace"),
+                .help("Log level: off, error, warn, info, debug or trace"),
         )
         .args(settings)
 }
 
-/// The settings that were given as flags.
+/// Returns the settings given as flags.
 pub(crate) fn overrides(matches: &ArgMatches) -> SettingsOverrides {
     let mut overrides = SettingsOverrides::default();
     for setting in SETTING_FLAGS {
--- a/crates/sloetraild/src/main.rs
+++ b/crates/sloetraild/src/main.rs
@@ -1,7 +1,7 @@
 //! The sloetrail node daemon.
 //!
-//! Reads its settings from a file and flags, starts one node, and leaves in an
-//! orderly way on SIGTERM or SIGINT.
+//! Reads its settings from a file and flags, starts one node, and shuts down
+//! gracefully on SIGTERM or SIGINT.
 
 #![forbid(unsafe_code)]
 
@@ -66,7 +66,7 @@
     match runtime {
         Ok(runtime) => runtime.block_on(serve(settings)),
         Err(error) => {
-            eprintln!("sloetraild: the runtime cannot start: {error}");
+            eprintln!("sloetraild: failed to build the Tokio runtime: {error}");
             ExitCode::from(EXIT_START_FAILED)
         }
     }
@@ -78,13 +78,13 @@
     let (terminate, interrupt) = match signals {
         Ok(signals) => signals,
         Err(error) => {
-            eprintln!("sloetraild: signals cannot be awaited: {error}");
+            eprintln!("sloetraild: failed to install signal handlers: {error}");
             return ExitCode::from(EXIT_START_FAILED);
         }
     };
     match Node::start(settings).await {
         Ok(node) => {
-            // With port zero in the settings, this is how the ports become known.
+            // Reports the bound ports, which the system chooses if the settings have port 0.
             println!(
                 "listening http={} gossip={}",
                 node.http_address(),
--- a/crates/sloetraild/tests/settings.rs
+++ b/crates/sloetraild/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings from the outside.
+//! Runs the built daemon to test its settings and flags.
 
 use std::process::{Command, Output};
 
@@ -8,7 +8,7 @@
     Command::new(env!("CARGO_BIN_EXE_sloetraild"))
         .args(arguments)
         .output()
-        .expect("the daemon is built")
+        .expect("failed to run sloetraild")
 }
 
 fn error_text(output: &Output) -> String {
@@ -23,10 +23,10 @@
 
 #[test]
 fn example_settings_match_the_default_bounds() {
-    let text = std::fs::read_to_string(EXAMPLE).expect("readable");
+    let text = std::fs::read_to_string(EXAMPLE).expect("failed to read the example settings");
     let overrides = sloetrail_config::SettingsOverrides::default();
     let settings = sloetrail_config::NodeSettings::parse("node.toml", &text, &overrides);
-    let settings = settings.expect("sound");
+    let settings = settings.expect("the example settings must be valid");
     assert_eq!(settings.bounds, sloetrail_config::Bounds::default());
 }
 
