--- a/crates/sloetrail-cli/src/apply.rs
+++ b/crates/sloetrail-cli/src/apply.rs
@@ -1,4 +1,4 @@
-//! `validate`, `plan` and `apply`.
+//! The `validate`, `plan` and `apply` commands.
 
 use crate::client::Client;
 use crate::failure::Failure;
@@ -16,7 +16,9 @@
 }
 
 fn read_file(matches: &ArgMatches) -> Result<ServiceFile, Failure> {
-    let name = matches.get_one::<String>("file").expect("it is required");
+    let name = matches
+        .get_one::<String>("file")
+        .expect("clap enforces required arguments");
     let text = std::fs::read_to_string(name)
         .map_err(|error| Failure::usage(ResultCode::FileUnreadable, format!("{name}: {error}")))?;
     let configuration = Configuration::parse(name, &text)?;
@@ -27,7 +29,7 @@
     })
 }
 
-/// Checks a file.
+/// Checks a service file without contacting a node.
 pub(crate) fn validate(matches: &ArgMatches, as_json: bool) -> Result<(), Failure> {
     let file = read_file(matches)?;
     let configuration = &file.configuration;
@@ -49,7 +51,7 @@
     Ok(())
 }
 
-/// Shows what an apply would change.
+/// Prints the difference between the configuration in force and a service file.
 pub(crate) async fn plan(matches: &ArgMatches, as_json: bool) -> Result<(), Failure> {
     let file = read_file(matches)?;
     let client = Client::from_arguments(matches);
@@ -93,7 +95,8 @@
     }
 }
 
-/// Applies a file.
+/// Applies a service file. Text output starts with the apply id, printed before the request
+/// is sent, so that an unknown outcome can be read back.
 pub(crate) async fn apply(matches: &ArgMatches, as_json: bool) -> Result<(), Failure> {
     let file = read_file(matches)?;
     let id = matches.get_one::<String>("id").cloned();
@@ -112,7 +115,6 @@
     Ok(())
 }
 
-/// Prints an accepted apply.
 pub(crate) fn print_accepted(accepted: &ApplyAccepted, as_json: bool) {
     if as_json {
         println!("{}", serde_json::json!({ "accepted": accepted }));
@@ -126,7 +128,7 @@
     );
 }
 
-/// An id that no other apply has: the time and this process.
+/// Generates an apply id from the current time and the process id.
 fn generate_apply_id() -> String {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     let microseconds = elapsed.map_or(0, |elapsed| elapsed.as_micros());
--- a/crates/sloetrail-cli/src/arguments.rs
+++ b/crates/sloetrail-cli/src/arguments.rs
@@ -1,9 +1,8 @@
-//! The command line's shape.
+//! Definition of the command line.
 
 use clap::{Arg, Command, value_parser};
 use std::net::SocketAddr;
 
-/// The whole command line.
 pub(crate) fn command() -> Command {
     Command::new("sloetrail")
         .about("Operates a sloetrail deployment")
@@ -16,11 +15,11 @@
                 .global(true)
                 .value_parser(["text", "json"])
                 .default_value("text")
-                .help("How results are printed"),
+                .help("Output format"),
         )
         .subcommand(
             Command::new("validate")
-                .about("Checks a service file without asking a node")
+                .about("Checks a service file without contacting a node")
                 .after_help("Example: sloetrail validate examples/maelir.toml")
                 .arg(file_arg()),
         )
@@ -35,7 +34,7 @@
         )
         .subcommand(
             Command::new("apply")
-                .about("Applies a service file as a whole")
+                .about("Applies a service file atomically")
                 .after_help(
                     "Example: sloetrail apply --node 127.0.0.1:7600 --base 7 examples/maelir.toml\n\
                      Exit code 4: the outcome is unknown; read it back with `sloetrail get --apply ID`.",
@@ -46,26 +45,26 @@
                         .long("base")
                         .value_name("REVISION")
                         .value_parser(value_parser!(u64))
-                        .help("Refuse unless this revision is the present one"),
+                        .help("Refuse unless this is the current revision"),
                 )
                 .arg(
                     Arg::new("id")
                         .long("id")
                         .value_name("ID")
-                        .help("The apply's id; made up if absent"),
+                        .help("Apply id; generated if absent"),
                 )
                 .arg(file_arg()),
         )
         .subcommand(
             Command::new("get")
-                .about("Reads back what is in force in each zone, or one apply")
+                .about("Reads the configuration in force in each zone, or the result of one apply")
                 .after_help("Example: sloetrail get --node 127.0.0.1:7600")
                 .arg(node_arg())
                 .arg(
                     Arg::new("apply")
                         .long("apply")
                         .value_name("ID")
-                        .help("Read this apply back"),
+                        .help("Read the result of this apply"),
                 ),
         )
         .subcommand(
@@ -76,14 +75,14 @@
         )
         .subcommand(
             Command::new("drain")
-                .about("Has an engine take no new work and finish what it has")
+                .about("Stops sending new work to an engine and lets its current work finish")
                 .after_help("Example: sloetrail drain --node 127.0.0.1:7600 vision-lm-3")
                 .arg(node_arg())
                 .arg(engine_arg()),
         )
         .subcommand(
             Command::new("resume")
-                .about("Has a drained engine take work again")
+                .about("Returns a drained engine to service")
                 .after_help("Example: sloetrail resume --node 127.0.0.1:7600 vision-lm-3")
                 .arg(node_arg())
                 .arg(engine_arg()),
@@ -101,31 +100,31 @@
         )
         .subcommand(
             Command::new("explain-request")
-                .about("Gathers what the logs of several nodes say of one request, batch or item")
+                .about("Prints the timeline of one request, batch or item from the logs of several nodes")
                 .after_help("Example: sloetrail explain-request 9c41d07be2a35f68 node-1.log node-2.log")
                 .arg(
                     Arg::new("id")
                         .required(true)
                         .value_name("ID")
-                        .help("The id of a request, a batch, an item or a reward call"),
+                        .help("Id of a request, a batch, an item or a reward call"),
                 )
                 .arg(logs_arg()),
         )
         .subcommand(
             Command::new("step-report")
-                .about("Tells where the time of training steps went, from the logs of several nodes")
+                .about("Breaks down the duration of training steps, from the logs of several nodes")
                 .after_help("Example: sloetrail step-report node-1.log node-2.log")
                 .arg(logs_arg()),
         )
         .subcommand(
             Command::new("usage")
-                .about("Tells which windows of usage were reported, by whom, and which are missing, from the logs of several nodes")
+                .about("Lists reported and missing usage windows, from the logs of several nodes")
                 .after_help("Example: sloetrail usage node-1.log node-2.log")
                 .arg(logs_arg()),
         )
         .subcommand(
             Command::new("zones")
-                .about("Tells where the evacuation of zones stands, from the metrics of several nodes")
+                .about("Shows the progress of zone evacuations, from the metrics of several nodes")
                 .after_help("Example: sloetrail zones 127.0.0.1:9464 127.0.0.2:9464")
                 .arg(
                     Arg::new("addresses")
@@ -133,25 +132,25 @@
                         .num_args(1..)
                         .value_name("METRICS_ADDRESS")
                         .value_parser(value_parser!(SocketAddr))
-                        .help("The metrics addresses of nodes"),
+                        .help("Metrics addresses of nodes"),
                 ),
         )
         .subcommand(
             Command::new("check")
-                .about("Judges a recorded history, invariant by invariant")
+                .about("Checks the invariants of a recorded history")
                 .after_help("Example: sloetrail check history.jsonl --only I4,I5")
                 .arg(
                     Arg::new("only")
                         .long("only")
                         .value_name("NAMES")
                         .value_delimiter(',')
-                        .help("Judge only these invariants"),
+                        .help("Check only these invariants"),
                 )
                 .arg(file_arg()),
         )
         .subcommand(
             Command::new("replay")
-                .about("Replays a trace against its stated outcomes")
+                .about("Replays a trace and compares its outcomes with the expected ones")
                 .after_help("Example: sloetrail replay traces/withdrawn-sample.jsonl")
                 .arg(file_arg()),
         )
@@ -166,7 +165,7 @@
         .required(true)
         .num_args(1..)
         .value_name("LOG")
-        .help("Logs of nodes, in any order")
+        .help("Log files of nodes, in any order")
 }
 
 fn engine_arg() -> Arg {
@@ -180,5 +179,5 @@
         .value_parser(value_parser!(SocketAddr))
         .value_delimiter(',')
         .required(true)
-        .help("One or more nodes; the first that answers is asked")
+        .help("One or more node addresses, tried in order until one answers")
 }
--- a/crates/sloetrail-cli/src/check.rs
+++ b/crates/sloetrail-cli/src/check.rs
@@ -1,11 +1,12 @@
-//! `check` and `replay`.
+//! The `check` and `replay` commands.
 
 use crate::failure::Failure;
 use clap::ArgMatches;
 use sloetrail_history::{CheckBounds, Invariant, Verdict, merge_histories, read_history};
 use sloetrail_result::ResultCode;
 
-/// Judges a history.
+/// Checks the invariants of a recorded history. Fails if a selected invariant is violated or
+/// was not checked.
 pub(crate) fn check(matches: &ArgMatches, as_json: bool) -> Result<(), Failure> {
     let selected = selected_invariants(matches)?;
     let text = read(matches)?;
@@ -26,7 +27,7 @@
     match failed {
         0 => Ok(()),
         failed => Err(Failure::violated(format!(
-            "{failed} of {} invariants do not hold or were not checked",
+            "{failed} of {} invariants are violated or were not checked",
             verdicts.len()
         ))),
     }
@@ -39,14 +40,14 @@
     names
         .map(|name| {
             Invariant::from_name(name).ok_or_else(|| {
-                let detail = format!("{name:?} is not one of I1 to I9");
+                let detail = format!("unknown invariant {name:?}: expected I1 to I9");
                 Failure::usage(ResultCode::OutOfBounds, detail)
             })
         })
         .collect()
 }
 
-/// Replays a trace.
+/// Replays a trace and prints outcomes that differ from the expected ones.
 pub(crate) fn replay(matches: &ArgMatches, as_json: bool) -> Result<(), Failure> {
     let text = read(matches)?;
     let report = sloetrail_history::replay(&text)
@@ -63,12 +64,16 @@
     }
     match report.agrees() {
         true => Ok(()),
-        false => Err(Failure::violated("the trace's outcomes are not met")),
+        false => Err(Failure::violated(
+            "the replayed outcomes differ from those expected by the trace",
+        )),
     }
 }
 
 fn read(matches: &ArgMatches) -> Result<String, Failure> {
-    let name = matches.get_one::<String>("file").expect("it is required");
+    let name = matches
+        .get_one::<String>("file")
+        .expect("clap enforces required arguments");
     std::fs::read_to_string(name)
         .map_err(|error| Failure::usage(ResultCode::FileUnreadable, format!("{name}: {error}")))
 }
--- a/crates/sloetrail-cli/src/client.rs
+++ b/crates/sloetrail-cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to nodes.
+//! HTTP client for the node API.
 
 use crate::failure::Failure;
 use bytes::Bytes;
@@ -15,14 +15,14 @@
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Asks the nodes that were given, in their order.
+/// Sends requests to the configured nodes, in order, until one answers.
 pub(crate) struct Client {
     http: HttpClient,
     nodes: Vec<SocketAddr>,
 }
 
 impl Client {
-    /// A client for the `--node` addresses.
+    /// Creates a client for the `--node` addresses.
     pub(crate) fn from_arguments(matches: &ArgMatches) -> Self {
         let nodes = matches.get_many::<SocketAddr>("node");
         Self {
@@ -33,13 +33,13 @@
         }
     }
 
-    /// Gets a JSON answer.
+    /// Sends a GET request and decodes the JSON response.
     pub(crate) async fn get<A: DeserializeOwned>(&self, path: &str) -> Result<A, Failure> {
         let response = self.call(Method::GET, path, Vec::new()).await?;
         decode(&response)
     }
 
-    /// Posts a JSON message and reads a JSON answer.
+    /// Posts a JSON message and decodes the JSON response.
     pub(crate) async fn post<Q: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
@@ -51,19 +51,20 @@
         decode(&response)
     }
 
-    /// Posts without a message or an answer.
+    /// Posts an empty body and ignores the response body.
     pub(crate) async fn post_empty(&self, path: &str) -> Result<(), Failure> {
         self.call(Method::POST, path, Vec::new()).await.map(|_| ())
     }
 
-    /// Asks node after node, but only as long as the call was not carried out.
+    /// Tries the next node only if the request was certainly not executed: a request with an
+    /// unknown outcome must not be sent twice.
     async fn call(
         &self,
         method: Method,
         path: &str,
         body: Vec<u8>,
     ) -> Result<RawResponse, Failure> {
-        let mut last_error = "no node was given".to_owned();
+        let mut last_error = "no node address was given".to_owned();
         for node in &self.nodes {
             let request = Request::builder()
                 .method(method.clone())
@@ -98,7 +99,10 @@
 fn problem_of(response: &RawResponse) -> Problem {
     let problem = response.json::<Problem>();
     problem.unwrap_or_else(|_| {
-        let detail = format!("status {} without a problem document", response.status);
+        let detail = format!(
+            "expected a problem document, got status {} without one",
+            response.status
+        );
         Problem::new(ResultCode::InternalError, detail)
     })
 }
--- a/crates/sloetrail-cli/src/engine_commands.rs
+++ b/crates/sloetrail-cli/src/engine_commands.rs
@@ -1,15 +1,14 @@
-//! `drain` and `resume`.
+//! The `drain` and `resume` commands.
 
 use crate::client::Client;
 use crate::failure::Failure;
 use clap::ArgMatches;
 
-/// Drains an engine.
 pub(crate) async fn drain(matches: &ArgMatches) -> Result<(), Failure> {
     send_engine_command(matches, "drain", "takes no new work").await
 }
 
-/// Ends an engine's drain.
+/// Returns a drained engine to service.
 pub(crate) async fn resume(matches: &ArgMatches) -> Result<(), Failure> {
     send_engine_command(matches, "resume", "takes work again").await
 }
@@ -19,7 +18,9 @@
     verb: &str,
     effect: &str,
 ) -> Result<(), Failure> {
-    let engine = matches.get_one::<String>("engine").expect("it is required");
+    let engine = matches
+        .get_one::<String>("engine")
+        .expect("clap enforces required arguments");
     let client = Client::from_arguments(matches);
     let path = format!("/v1/engines/{engine}/{verb}");
     client.post_empty(&path).await?;
--- a/crates/sloetrail-cli/src/explain.rs
+++ b/crates/sloetrail-cli/src/explain.rs
@@ -1,14 +1,16 @@
-//! `explain`.
+//! The `explain` command.
 
 use crate::failure::Failure;
 use clap::ArgMatches;
 use sloetrail_result::{Kind, ResultCode};
 
-/// Prints a result code's meaning.
+/// Prints the meaning of a result code and the recommended action.
 pub(crate) fn explain(matches: &ArgMatches, as_json: bool) -> Result<(), Failure> {
-    let number = *matches.get_one::<u16>("code").expect("it is required");
+    let number = *matches
+        .get_one::<u16>("code")
+        .expect("clap enforces required arguments");
     let Some(code) = ResultCode::from_number(number) else {
-        let detail = format!("there is no result code {number}");
+        let detail = format!("unknown result code {number}");
         return Err(Failure::usage(ResultCode::OutOfBounds, detail));
     };
     if as_json {
--- a/crates/sloetrail-cli/src/explain_request.rs
+++ b/crates/sloetrail-cli/src/explain_request.rs
@@ -1,4 +1,4 @@
-//! `explain-request`.
+//! The `explain-request` command.
 
 use crate::failure::Failure;
 use crate::log_files::read_logs;
@@ -7,7 +7,9 @@
 
 /// Prints the timeline of an id from log files.
 pub(crate) fn explain_request(matches: &ArgMatches, as_json: bool) -> Result<(), Failure> {
-    let id = matches.get_one::<String>("id").expect("it is required");
+    let id = matches
+        .get_one::<String>("id")
+        .expect("clap enforces required arguments");
     let texts = read_logs(matches)?;
     let timeline = gather(id, texts.iter().map(String::as_str));
     if as_json {
--- a/crates/sloetrail-cli/src/failure.rs
+++ b/crates/sloetrail-cli/src/failure.rs
@@ -1,4 +1,4 @@
-//! How a command ends when it does not end well.
+//! Command failures and their exit codes.
 
 use sloetrail_config::ConfigError;
 use sloetrail_result::{Kind, Problem, ResultCode};
@@ -8,7 +8,7 @@
 const EXIT_UNREACHABLE: u8 = 3;
 const EXIT_OUTCOME_UNKNOWN: u8 = 4;
 
-/// A command's failure, as a problem document.
+/// A failed command: a problem document and an exit code.
 #[derive(Debug)]
 pub(crate) struct Failure {
     problem: Problem,
@@ -16,7 +16,7 @@
 }
 
 impl Failure {
-    /// The arguments or a file are wrong; no node was asked.
+    /// Invalid arguments or an invalid file; no request was sent.
     pub(crate) fn usage(code: ResultCode, detail: impl Into<String>) -> Self {
         Self {
             problem: Problem::new(code, detail),
@@ -24,7 +24,6 @@
         }
     }
 
-    /// No node could be reached.
     pub(crate) fn unreachable(detail: impl Into<String>) -> Self {
         Self {
             problem: Problem::new(ResultCode::NodeUnreachable, detail),
@@ -32,7 +31,7 @@
         }
     }
 
-    /// A check did not hold.
+    /// An invariant or an expected outcome is violated.
     pub(crate) fn violated(detail: impl Into<String>) -> Self {
         Self {
             problem: Problem::new(ResultCode::InvariantViolated, detail),
--- a/crates/sloetrail-cli/src/log_timeline.rs
+++ b/crates/sloetrail-cli/src/log_timeline.rs
@@ -1,63 +1,60 @@
-//! The timeline of one request, batch or item, gathered from the logs of several nodes.
+//! The timeline of one request, batch or item, from the logs of several nodes.
 //!
-//! A line belongs to the timeline if a field of its decision is the id asked for; for an
-//! item its batch's lines belong to it as well, but not those of the batch's other
-//! items. Each node's lines keep the order in which the node wrote them; between nodes
-//! the time decides, so that clocks that disagree shift whole nodes and mix no lines.
+//! A line is included if a field of its decision equals the requested id. For an item,
+//! lines about its batch are included too, except lines about other items of that batch.
+//! Lines of one node keep their written order; lines of different nodes are merged by
+//! time, so clock skew between nodes never reorders the lines of one node.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt::Write;
 
-/// Fields of a decision.
 const EVENT: &str = "event";
 const ITEM: &str = "item";
 const BATCH: &str = "batch";
 const REWARD: &str = "reward";
-/// The event that tells of lines that were not written.
+/// Event that counts log lines dropped by the writer.
 const DROPPED: &str = "lines_dropped";
 
-/// One line of a log.
+/// One structured log line.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LogLine {
-    /// The writer's time of day, in milliseconds.
+    /// Wall-clock time of the writing node, in milliseconds since the Unix epoch.
     pub(crate) time_ms: u64,
-    /// The writer.
     pub(crate) node: String,
-    /// The part of the program.
+    /// Component that wrote the line.
     pub(crate) part: String,
-    /// The decision.
+    /// Event name and fields.
     #[serde(default)]
     pub(crate) decision: Map<String, Value>,
 }
 
-/// The timeline of an id.
+/// Log lines about one id, with known gaps in the logs.
 #[derive(Debug, Default, Serialize)]
 pub(crate) struct Timeline {
-    /// The lines in order.
     pub(crate) lines: Vec<LogLine>,
-    /// Nodes that dropped lines between the first and the last line, with how many.
+    /// Number of lines dropped between the first and the last line, per node.
     pub(crate) dropped: BTreeMap<String, u64>,
-    /// Nodes whose time of day went back, with by how many milliseconds at largest.
+    /// Largest backward step of the wall clock in milliseconds, per node.
     pub(crate) clocks_back_ms: BTreeMap<String, u64>,
-    /// Lines of the logs that could not be read.
+    /// Number of log lines that could not be parsed.
     pub(crate) unreadable: usize,
 }
 
 impl LogLine {
-    /// Reads a line; whatever stands before its first brace is left out.
+    /// Parses a line. A prefix before the first brace is ignored.
     pub(crate) fn parse(text: &str) -> Option<Self> {
         let start = text.find('{')?;
         serde_json::from_str(&text[start..]).ok()
     }
 
-    /// The name of the decision.
+    /// Returns the event name, or "-" if there is none.
     pub(crate) fn event(&self) -> &str {
         self.field(EVENT).unwrap_or("-")
     }
 
-    /// A field of the decision that is a text.
+    /// Returns a string field of the decision.
     pub(crate) fn field(&self, name: &str) -> Option<&str> {
         self.decision.get(name).and_then(Value::as_str)
     }
@@ -68,13 +65,13 @@
         texts.any(|value| ids.contains(value))
     }
 
-    /// True if the line is about an item that is not among these.
+    /// Returns true if the line has an item that is not in `ids`.
     fn is_about_another_item(&self, ids: &BTreeSet<String>) -> bool {
         self.field(ITEM).is_some_and(|item| !ids.contains(item))
     }
 }
 
-/// Gathers the timeline of an id from the texts of logs.
+/// Builds the timeline of an id from the contents of log files.
 pub(crate) fn gather<'a>(id: &str, logs: impl IntoIterator<Item = &'a str>) -> Timeline {
     let mut timeline = Timeline::default();
     let mut by_node: BTreeMap<String, VecDeque<LogLine>> = BTreeMap::new();
@@ -93,17 +90,17 @@
     let ids = related_ids(id, by_node.values().flatten());
     let is_item = ids.len() > 1;
     record_clock_steps(&mut timeline, &by_node);
-    let own = by_node.iter().map(|(node, lines)| {
-        let named = lines.iter().filter(|line| line.mentions(&ids));
-        let named = named.filter(|line| !is_item || !line.is_about_another_item(&ids));
-        (node.clone(), named.cloned().collect())
+    let matching_by_node = by_node.iter().map(|(node, lines)| {
+        let matching = lines.iter().filter(|line| line.mentions(&ids));
+        let matching = matching.filter(|line| !is_item || !line.is_about_another_item(&ids));
+        (node.clone(), matching.cloned().collect())
     });
-    timeline.lines = merge(own.collect());
+    timeline.lines = merge(matching_by_node.collect());
     record_dropped_lines(&mut timeline, &by_node);
     timeline
 }
 
-/// The id and, for an item, its batch; for a reward call, its item and batch.
+/// Returns the id and, for an item, its batch; for a reward call, its item and batch.
 fn related_ids<'a>(id: &str, lines: impl Iterator<Item = &'a LogLine>) -> BTreeSet<String> {
     let mut ids = BTreeSet::from([id.to_owned()]);
     for line in lines {
@@ -116,7 +113,7 @@
     ids
 }
 
-/// Merges the nodes' lines by time without changing the order of any node.
+/// Merges the lines of all nodes by time and keeps the order of lines within each node.
 fn merge(mut by_node: BTreeMap<String, VecDeque<LogLine>>) -> Vec<LogLine> {
     let mut merged = Vec::new();
     loop {
@@ -165,7 +162,7 @@
     }
 }
 
-/// The timeline for people.
+/// Renders the timeline as text.
 pub(crate) fn as_text(id: &str, timeline: &Timeline) -> String {
     let mut text = String::new();
     let start = timeline.lines.first().map_or(0, |line| line.time_ms);
@@ -177,7 +174,7 @@
             .filter(|(name, _)| name.as_str() != EVENT)
             .map(|(name, value)| format!("{name}={}", plain_value(value)))
             .collect();
-        // Writing to a string cannot fail.
+        // Writing to a `String` is infallible.
         let _ = writeln!(
             text,
             "{after:>8} ms  {:<22} [{}] {}: {}",
@@ -188,7 +185,7 @@
         );
     }
     if timeline.lines.is_empty() {
-        let _ = writeln!(text, "no line names {id}");
+        let _ = writeln!(text, "no log line mentions {id}");
     }
     for (node, count) in &timeline.dropped {
         let _ = writeln!(text, "{node} did not write {count} lines in that time");
--- a/crates/sloetrail-cli/src/main.rs
+++ b/crates/sloetrail-cli/src/main.rs
@@ -1,8 +1,8 @@
-//! The operators' command line.
+//! Command-line tool for operators.
 //!
-//! Exit codes: 0 done, 1 refused or a check failed, 2 the arguments or a file
-//! are wrong, 3 no node could be reached, 4 the outcome is unknown and can be
-//! read back. `docs/OPERATING.md` has the table.
+//! Exit codes: 0 success, 1 request refused or check failed, 2 invalid arguments or
+//! file, 3 no node reachable, 4 outcome unknown (it can be read back).
+//! See `docs/OPERATING.md`.
 
 #![forbid(unsafe_code)]
 
@@ -32,7 +32,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("the runtime starts");
+        .expect("failed to build the Tokio runtime");
     match runtime.block_on(run(&matches, as_json)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
@@ -58,6 +58,6 @@
         Some(("zones", matches)) => zones::zones(matches, as_json).await,
         Some(("check", matches)) => check::check(matches, as_json),
         Some(("replay", matches)) => check::replay(matches, as_json),
-        _ => unreachable!("clap asks for a subcommand"),
+        _ => unreachable!("clap requires a known subcommand"),
     }
 }
--- a/crates/sloetrail-cli/src/node_metrics.rs
+++ b/crates/sloetrail-cli/src/node_metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of nodes, as their metrics addresses tell them.
+//! Scraping and parsing of node metrics.
 
 use bytes::Bytes;
 use http::Request;
@@ -9,12 +9,10 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// A node tells its metrics from memory; one that takes longer is as good as gone.
 const SCRAPE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The metrics of a node with 64 routes and services are a tenth of this.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// One value of a gauge or counter.
+/// A value of a gauge or counter.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Sample {
     pub(crate) name: String,
@@ -23,8 +21,8 @@
 }
 
 impl Sample {
-    /// Reads a line in the text format; nothing for a comment or a line of another form. The
-    /// labels that nodes give hold no quotes and no commas.
+    /// Parses a line of the Prometheus text format. Returns None for comments and malformed
+    /// lines. Label values with quotes or commas are not supported; nodes never export them.
     fn parse(line: &str) -> Option<Self> {
         let (series, value) = line.rsplit_once(' ')?;
         let value = value.parse().ok()?;
@@ -44,15 +42,15 @@
     }
 }
 
-/// What the lines of an response tell.
+/// Parses a response in the Prometheus text format and skips lines without a sample.
 pub(crate) fn parse(text: &str) -> Vec<Sample> {
     text.lines().filter_map(Sample::parse).collect()
 }
 
-/// What became of the question to one node.
+/// The samples of one node, or the reason why it could not be scraped.
 pub(crate) type ScrapeResult = Result<Vec<Sample>, String>;
 
-/// Asks all nodes at the same time.
+/// Scrapes all nodes concurrently.
 pub(crate) async fn scrape_all(addresses: &[SocketAddr]) -> BTreeMap<SocketAddr, ScrapeResult> {
     let http = HttpClient::new();
     let mut scrapes = JoinSet::new();
@@ -76,7 +74,10 @@
     })?;
     match response.status.is_success() {
         true => Ok(parse(&String::from_utf8_lossy(&response.body))),
-        false => Err(format!("status {}", response.status)),
+        false => Err(format!(
+            "expected a success status, got {}",
+            response.status
+        )),
     }
 }
 
--- a/crates/sloetrail-cli/src/reports.rs
+++ b/crates/sloetrail-cli/src/reports.rs
@@ -1,4 +1,4 @@
-//! `get` and `status`.
+//! The `get` and `status` commands.
 
 use crate::apply::print_accepted;
 use crate::client::Client;
@@ -6,7 +6,7 @@
 use clap::ArgMatches;
 use sloetrail_node::messages::{ApplyAccepted, ConfigurationReport, StatusReport, ZoneReport};
 
-/// Reads back what is in force, or one apply.
+/// Prints the configuration in force in each zone, or the result of one apply.
 pub(crate) async fn get(matches: &ArgMatches, as_json: bool) -> Result<(), Failure> {
     let client = Client::from_arguments(matches);
     if let Some(apply) = matches.get_one::<String>("apply") {
@@ -21,7 +21,7 @@
     }
     let confirmed = match report.confirmed {
         true => "confirmed",
-        false => "not confirmed: the node could not ask the table or a majority of zones",
+        false => "not confirmed: the node could not reach the table or a majority of zones",
     };
     println!(
         "Node {}: revision {} ({confirmed})",
@@ -35,16 +35,19 @@
     match (zone.revision, zone.heard_ms_ago) {
         (Some(revision), Some(age)) => {
             println!(
-                "  {:<16} revision {revision}, heard {age} ms ago",
+                "  {:<16} revision {revision}, heard from {age} ms ago",
                 zone.zone
             );
         }
-        (_, Some(age)) => println!("  {:<16} not asked, last heard {age} ms ago", zone.zone),
-        _ => println!("  {:<16} not asked, never heard", zone.zone),
+        (_, Some(age)) => println!(
+            "  {:<16} not asked, last heard from {age} ms ago",
+            zone.zone
+        ),
+        _ => println!("  {:<16} not asked, never heard from", zone.zone),
     }
 }
 
-/// Shows a node.
+/// Prints the status of a node, its zone, its services and what it owns.
 pub(crate) async fn status(matches: &ArgMatches, as_json: bool) -> Result<(), Failure> {
     let client = Client::from_arguments(matches);
     let report: StatusReport = client.get("/v1/status").await?;
@@ -62,7 +65,7 @@
     );
     for service in &report.services {
         println!(
-            "  {}: {} engines listed, {} may be chosen here, {} requests in flight, {} waiting",
+            "  {}: {} engines listed, {} available on this node, {} requests in flight, {} waiting",
             service.service, service.listed, service.available, service.in_flight, service.waiting
         );
         for engine in &service.engines {
--- a/crates/sloetrail-cli/src/step_report.rs
+++ b/crates/sloetrail-cli/src/step_report.rs
@@ -1,8 +1,8 @@
-//! `step-report`: where the time of training steps went, from the logs of several nodes.
+//! The `step-report` command: a breakdown of training step durations from node logs.
 //!
-//! A step is a batch that has groups to wait for. When enough of them are whole, its
-//! owner writes one line (`step_whole`) with the parts of the batch's age; this report
-//! gathers these lines, adds the steps that never became whole, and sums the parts up.
+//! A step is a batch with required groups. When enough of these groups are complete, the
+//! owner of the batch logs a `step_whole` event with the age of the batch by phase. The
+//! report lists these events and the incomplete steps, and averages the phases.
 
 use crate::failure::Failure;
 use crate::log_files::read_logs;
@@ -13,64 +13,61 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Where the time of a step went, in milliseconds. The parts add up to its age.
+/// Duration of each phase of a step. The phases add up to the age of the step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 struct StepParts {
-    /// Until its last owner had opened it: accepting, loading, owners before.
+    /// From acceptance until the last owner opened the batch, including earlier owners.
     before_opening_ms: u64,
-    /// Until its last item was first sent to an engine.
+    /// Until the last item was first sent to an engine.
     waiting_ms: u64,
-    /// At engines.
+    /// Running on engines.
     running_ms: u64,
-    /// At no engine, between two runs.
+    /// Between two runs, on no engine.
     between_runs_ms: u64,
-    /// Being scored.
     scoring_ms: u64,
-    /// Being committed, which includes waiting for the table.
+    /// Committing, including the wait for the table.
     committing_ms: u64,
 }
 
-/// A step whose groups became whole.
+/// Completion of a step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 struct StepCompletion {
-    /// Its age then, in milliseconds.
+    /// Age of the batch at completion.
     age_ms: u64,
-    /// Where that time went.
     parts: StepParts,
-    /// What its longest text takes on the fastest engine: no step could be shorter.
+    /// Lower bound of the age: decode time of the longest text on the fastest engine.
     least_ms: u64,
-    /// The item that was listed last.
+    /// Item whose result was listed last.
     last_item: String,
-    /// Its runs under the last owner.
+    /// Number of runs of that item under the last owner.
     runs: u64,
 }
 
-/// A step.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 struct Step {
     batch: String,
-    /// When a node accepted it first, by that node's time of day in milliseconds.
+    /// Earliest acceptance, by the wall clock of the accepting node.
     accepted_at_ms: Option<u64>,
     items: u64,
-    /// How often an owner opened it.
+    /// Number of times an owner opened the batch.
     openings: u64,
-    /// Nothing if its groups did not become whole within the logs.
+    /// None if the logs do not contain the completion of the step.
     whole: Option<StepCompletion>,
 }
 
-/// All steps, by the time at which they were accepted.
+/// All steps, ordered by acceptance time.
 #[derive(Debug, Default, PartialEq, Eq, Serialize)]
 struct StepReport {
     steps: Vec<Step>,
-    /// Sums over the steps that became whole.
+    /// Sum of the phases of completed steps.
     sums: StepParts,
-    /// The sum of their ages.
+    /// Sum of the ages of completed steps.
     age_ms: u64,
-    /// The sum of the least times.
+    /// Sum of the lower bounds of completed steps.
     least_ms: u64,
 }
 
-/// Prints the report on the steps in log files.
+/// Prints the breakdown of steps found in log files.
 pub(crate) fn step_report(matches: &ArgMatches, as_json: bool) -> Result<(), Failure> {
     let texts = read_logs(matches)?;
     let report = gather(texts.iter().map(String::as_str));
@@ -94,7 +91,7 @@
     }
     let mut report = StepReport::default();
     for step in steps.into_values() {
-        // A batch that the logs only mention in passing is left out.
+        // Skips batches whose acceptance and opening are both missing from the logs.
         if step.accepted_at_ms.is_some() || step.openings > 0 {
             report.add(step);
         }
@@ -169,12 +166,12 @@
     }
 }
 
-/// The report for people.
+/// Renders the report as a table.
 fn as_text(report: &StepReport) -> String {
     let mut text = String::new();
     let first = report.steps.iter().find_map(|step| step.accepted_at_ms);
     let first = first.unwrap_or_default();
-    // Writing to a string cannot fail.
+    // Writing to a `String` is infallible.
     let _ = writeln!(
         text,
         "{:<18} {:>8} {:>6} {:>6} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>5}",
@@ -200,7 +197,7 @@
             step.batch, step.items, step.openings
         );
         let Some(completed) = &step.whole else {
-            let _ = writeln!(text, "not whole");
+            let _ = writeln!(text, "incomplete");
             continue;
         };
         let _ = write!(text, "{:>7} ", completed.age_ms);
@@ -217,7 +214,7 @@
     let completed = report.steps.iter().filter(|step| step.whole.is_some());
     let completed = completed.count() as u64;
     let incomplete = report.steps.len() as u64 - completed;
-    let _ = writeln!(text, "{completed} steps whole, {incomplete} not");
+    let _ = writeln!(text, "{completed} steps complete, {incomplete} incomplete");
     if completed == 0 {
         return;
     }
--- a/crates/sloetrail-cli/src/step_report/tests.rs
+++ b/crates/sloetrail-cli/src/step_report/tests.rs
@@ -27,7 +27,7 @@
         line(1_000, "n1", accepted("b1")),
         line(1_050, "n1", opened("b1", 0)),
         line(5_000, "n1", accepted("b2")),
-        "not a line of ours".to_owned(),
+        "not a structured log line".to_owned(),
         line(5_050, "n1", opened("b2", 0)),
     ];
     let second = [
@@ -49,13 +49,13 @@
     assert_eq!(
         report.steps.len(),
         2,
-        "a batch that is only mentioned is left out"
+        "a batch without acceptance or opening must be skipped"
     );
     let parts: u64 = report.sums.named().iter().map(|(_, part)| part).sum();
     assert_eq!(parts, report.age_ms);
     assert_ne!(report.sums, StepParts::default());
     assert!(report.steps[1].whole.is_none());
-    assert_eq!(report.steps[1].openings, 2, "two owners opened it");
+    assert_eq!(report.steps[1].openings, 2, "both openings must be counted");
 }
 
 #[test]
@@ -69,5 +69,5 @@
 fn logs_without_steps_give_an_empty_report() {
     let report = gather(["", "{}", "{\"time_ms\":1}"]);
     assert!(report.steps.is_empty());
-    assert!(as_text(&report).ends_with("0 steps whole, 0 not\n"));
+    assert!(as_text(&report).ends_with("0 steps complete, 0 incomplete\n"));
 }
--- a/crates/sloetrail-cli/src/usage_report.rs
+++ b/crates/sloetrail-cli/src/usage_report.rs
@@ -1,5 +1,4 @@
-//! `usage`: which windows of usage were reported, by whom, and which are missing, from the
-//! logs of several nodes.
+//! The `usage` command: reported and missing usage windows, from the logs of several nodes.
 
 use crate::failure::Failure;
 use crate::log_files::read_logs;
@@ -12,37 +11,40 @@
 
 const ACCEPTED: &str = "accepted";
 
-/// What the logs say of the report of one window.
+/// Reports of one usage window found in the logs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 struct Window {
     window: u64,
-    /// True if it was taken.
+    /// True if any report of the window was accepted.
     is_accepted: bool,
-    /// How it was answered last.
+    /// Outcome of the last send.
     outcome: String,
-    /// How often it was sent.
+    /// Number of sends.
     sends: u64,
-    /// Who sent it last, and under which epoch.
+    /// Node of the last send.
     node: String,
+    /// Lease epoch of the last send.
     epoch: u64,
-    /// Tenants with a request in it, and the requests of all.
+    /// Number of tenants with at least one request in the window.
     tenants: u64,
+    /// Number of requests of all tenants.
     requests: u64,
-    /// How long after the end of the window it was answered last, in milliseconds.
+    /// Time from the end of the window to the last outcome.
     after_end_ms: u64,
 }
 
-/// All windows, and what became of counts that came too late.
+/// All usage windows, and the number of requests recorded too late.
 #[derive(Debug, Default, PartialEq, Eq, Serialize)]
 struct UsageSummary {
     windows: Vec<Window>,
-    /// Windows between the first and the last one of which the logs say nothing.
+    /// Windows between the first and the last one without a report in the logs.
     missing: Vec<u64>,
-    /// Requests that came too late for their report, or could not be deleted after it.
+    /// Requests that were recorded after the report of their window, or whose counts could not
+    /// be deleted after it.
     left: u64,
 }
 
-/// Prints which windows were reported in log files.
+/// Prints the usage windows found in log files.
 pub(crate) fn usage_report(matches: &ArgMatches, as_json: bool) -> Result<(), Failure> {
     let texts = read_logs(matches)?;
     let summary = gather(texts.iter().map(String::as_str));
@@ -104,7 +106,7 @@
     let mut text =
         String::from("window, requests, tenants, after its end, answer, sends, holder\n");
     for window in &summary.windows {
-        // Memory takes every write.
+        // Writing to a `String` is infallible.
         let _ = writeln!(
             text,
             "{} {} {} {} ms {} {} {} (epoch {})",
@@ -121,7 +123,7 @@
     let accepted = summary.windows.iter().filter(|window| window.is_accepted);
     let _ = writeln!(
         text,
-        "{} of {} windows taken, {} missing {:?}, {} requests too late",
+        "{} of {} windows accepted, {} missing {:?}, {} requests too late",
         accepted.count(),
         summary.windows.len() + summary.missing.len(),
         summary.missing.len(),
--- a/crates/sloetrail-cli/src/usage_report/tests.rs
+++ b/crates/sloetrail-cli/src/usage_report/tests.rs
@@ -16,7 +16,7 @@
     let first = [
         line(1_000, "n1", reported(10, 7, 1, "accepted")),
         line(6_000, "n1", reported(11, 5, 1, "not now")),
-        "not a line of ours".to_owned(),
+        "not a structured log line".to_owned(),
     ];
     let second = [
         line(9_000, "n2", reported(11, 5, 2, "accepted")),
@@ -35,7 +35,7 @@
          10 7 2 4600 ms accepted 1 n1 (epoch 1)\n\
          11 5 2 4600 ms accepted 2 n2 (epoch 2)\n\
          13 4 2 4600 ms not now 1 n2 (epoch 2)\n\
-         2 of 4 windows taken, 1 missing [12], 3 requests too late\n"
+         2 of 4 windows accepted, 1 missing [12], 3 requests too late\n"
     );
 }
 
--- a/crates/sloetrail-cli/src/zones.rs
+++ b/crates/sloetrail-cli/src/zones.rs
@@ -1,4 +1,4 @@
-//! `zones`: where the evacuation of zones stands, from the metrics of several nodes.
+//! The `zones` command: progress of zone evacuations, from the metrics of several nodes.
 
 use crate::failure::Failure;
 use crate::node_metrics::{self, Sample, ScrapeResult};
@@ -11,30 +11,29 @@
 const SECONDS: &str = "sloetrail_evacuation_seconds";
 const RUNNING: &str = "sloetrail_evacuation_running";
 
-/// A zone that is evacuated, as far as the nodes that answered tell.
+/// State of a zone evacuation, summed over the nodes that answered.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 struct EvacuatedZone {
-    /// Nodes on which the evacuation is in force.
+    /// Number of nodes on which the evacuation is in force.
     nodes: usize,
-    /// The longest that it has been in force on one of them.
+    /// Longest time for which it has been in force on one node.
     seconds: f64,
-    /// Live requests and reward calls that still run there.
+    /// Live requests and reward calls still running_count in the zone.
     live: u64,
-    /// Items of batches that still run there.
+    /// Batch items still running_count in the zone.
     items: u64,
 }
 
-/// All evacuated zones.
 #[derive(Debug, Default, PartialEq, Serialize)]
 struct ZonesReport {
     zones: BTreeMap<String, EvacuatedZone>,
-    /// Nodes that answered.
+    /// Number of nodes that answered.
     answered: usize,
-    /// Nodes that did not, and why.
+    /// Nodes that did not answer, with the reason.
     silent: BTreeMap<SocketAddr, String>,
 }
 
-/// Prints where evacuations stand.
+/// Prints the progress of zone evacuations. Fails if no node answers.
 pub(crate) async fn zones(matches: &ArgMatches, as_json: bool) -> Result<(), Failure> {
     let addresses = matches.get_many::<SocketAddr>("addresses");
     let addresses: Vec<SocketAddr> = addresses.into_iter().flatten().copied().collect();
@@ -69,8 +68,8 @@
     report
 }
 
-/// Takes in one node. What runs in a zone whose evacuation is not in force there, or no
-/// more, does not count.
+/// Adds the metrics of one node. Ignores work in zones whose evacuation is not in force on
+/// that node.
 fn add_node(zones: &mut BTreeMap<String, EvacuatedZone>, samples: &[Sample]) {
     let in_force = samples.iter().filter(|sample| sample.name == SECONDS);
     for sample in in_force.filter(|sample| sample.value > 0.0) {
@@ -97,7 +96,7 @@
 fn as_text(report: &ZonesReport) -> String {
     let mut text = String::from("zone, in force on, since, live, items\n");
     for (name, zone) in &report.zones {
-        // Memory takes every write.
+        // Writing to a `String` is infallible.
         let _ = writeln!(
             text,
             "{name} {} of {} nodes {:.1} s {} {}",
--- a/crates/sloetrail-cli/tests/commands.rs
+++ b/crates/sloetrail-cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The commands that need no node, from the outside.
+//! Runs the built binary for commands that need no running node.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -11,7 +11,7 @@
     Command::new(env!("CARGO_BIN_EXE_sloetrail"))
         .args(arguments)
         .output()
-        .expect("the command line is built")
+        .expect("failed to run sloetrail")
 }
 
 fn stdout(output: &Output) -> String {
@@ -20,7 +20,7 @@
 
 fn file_with(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("sloetrail-cli-{}-{name}", std::process::id()));
-    std::fs::write(&path, text).expect("writable");
+    std::fs::write(&path, text).expect("failed to write the file");
     path
 }
 
@@ -36,11 +36,14 @@
 fn invalid_file_is_refused_with_line_and_field() {
     let path = file_with("faulty.toml", "version = 1\n[[zone]]\nname = \"a b\"\n");
     let output = sloetrail(&["--output", "json", "validate", &path.display().to_string()]);
-    std::fs::remove_file(path).expect("it is there");
+    std::fs::remove_file(path).expect("failed to remove the file");
     assert_eq!(output.status.code(), Some(2));
-    let printed: serde_json::Value = serde_json::from_str(&stdout(&output)).expect("JSON");
+    let printed: serde_json::Value =
+        serde_json::from_str(&stdout(&output)).expect("output must be JSON");
     assert_eq!(printed["problem"]["code"], 2004);
-    let detail = printed["problem"]["detail"].as_str().expect("text");
+    let detail = printed["problem"]["detail"]
+        .as_str()
+        .expect("detail must be a string");
     assert!(detail.contains(":3: zone.name"), "{detail}");
 }
 
@@ -58,9 +61,12 @@
 
 #[test]
 fn unreachable_node_gives_exit_code_3() {
-    // A port that was free a moment ago and that nobody listens on.
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("bound").to_string();
+    // Binds and releases a port, so that connections to it are refused.
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("failed to bind a free port");
+    let address = listener
+        .local_addr()
+        .expect("failed to read the local address")
+        .to_string();
     drop(listener);
     let output = sloetrail(&["get", "--node", &address]);
     assert_eq!(output.status.code(), Some(3));
@@ -71,17 +77,26 @@
 #[test]
 fn evacuated_zones_are_read_from_node_metrics() {
     use std::io::{Read, Write};
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("bound").to_string();
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("failed to bind a free port");
+    let address = listener
+        .local_addr()
+        .expect("failed to read the local address")
+        .to_string();
     let node = std::thread::spawn(move || {
-        let (mut caller, _) = listener.accept().expect("a caller");
+        let (mut caller, _) = listener.accept().expect("failed to accept a connection");
         let mut request = [0; 1_024];
-        let length = caller.read(&mut request).expect("a request");
+        let length = caller
+            .read(&mut request)
+            .expect("failed to read the request");
         let body = "sloetrail_evacuation_seconds{zone=\"north\"} 4.5\n\
             sloetrail_evacuation_running{zone=\"north\",kind=\"items\"} 3\n";
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-        caller.write_all(head.as_bytes()).expect("it is taken");
-        caller.write_all(body.as_bytes()).expect("it is taken");
+        caller
+            .write_all(head.as_bytes())
+            .expect("failed to write the response");
+        caller
+            .write_all(body.as_bytes())
+            .expect("failed to write the response");
         String::from_utf8_lossy(&request[..length]).into_owned()
     });
     let output = sloetrail(&["zones", &address]);
@@ -90,7 +105,7 @@
         stdout(&output),
         "zone, in force on, since, live, items\nnorth 1 of 1 nodes 4.5 s 0 3\n"
     );
-    let request = node.join().expect("it was asked");
+    let request = node.join().expect("the server thread panicked");
     assert!(request.starts_with("GET /metrics HTTP/1.1"), "{request}");
 }
 
@@ -140,7 +155,7 @@
             "a",
             &json!({"event": "batch_accepted", "batch": "b2", "items": 2}),
         ),
-        "not a line of ours".to_owned(),
+        "not a structured log line".to_owned(),
     ]
     .join("\n");
     let second = [
@@ -181,10 +196,11 @@
     1 lines could not be read
     ");
     let output = sloetrail(&["--output", "json", "explain-request", "i2", &first, &second]);
-    let timeline: serde_json::Value = serde_json::from_str(&stdout(&output)).expect("JSON");
+    let timeline: serde_json::Value =
+        serde_json::from_str(&stdout(&output)).expect("output must be JSON");
     assert_eq!(timeline["lines"][0]["decision"]["event"], "batch_accepted");
     let output = sloetrail(&["explain-request", "nobody", &first]);
-    assert!(stdout(&output).contains("no line names nobody"));
+    assert!(stdout(&output).contains("no log line mentions nobody"));
     assert_eq!(
         sloetrail(&["explain-request", "x", "/nowhere"])
             .status
